--- a/src/lacewinggw/agent/executor.py
+++ b/src/lacewinggw/agent/executor.py
@@ -9,7 +9,7 @@
 from lacewinggw.agent.target import TargetGate, TargetKind
 from lacewinggw.clients.engine import AnswerEnd, EngineClient, Generation, PieceBatch
 from lacewinggw.clients.plain import PlainCall, PlainClient
-from lacewinggw.decisions.once import RunBook
+from lacewinggw.decisions.atmostonce import RunRegistry
 from lacewinggw.errors import (
     AnswerIncomplete,
     DeadlinePassed,
@@ -47,7 +47,7 @@
         gate: TargetGate,
         engine: EngineClient,
         plain: PlainClient | None,
-        book: RunBook,
+        book: RunRegistry,
         metrics: Metrics,
         ended: Callable[[Run], None],
     ) -> None:
--- a/src/lacewinggw/agent/queue.py
+++ b/src/lacewinggw/agent/queue.py
@@ -15,7 +15,7 @@
 from typing import Generic, TypeVar
 
 from lacewinggw.decisions.admission import Slots
-from lacewinggw.decisions.deadlines import MILLISECONDS, can_finish
+from lacewinggw.decisions.deadlines import MS_PER_S, can_finish
 from lacewinggw.decisions.fairness import FairQueue, QueueItem
 from lacewinggw.errors import Refusal, RequestRefused
 from lacewinggw.generated.messages.ttypes import Load, Priority, RequestHead
@@ -98,19 +98,19 @@
             queued=len(self._waiting),
             capacity=self._slots.capacity,
             age_ms=0,
-            queue_delay_ms=self._slots.wait_for(len(self._waiting)) * MILLISECONDS,
-            request_ms=self._slots.request_s * MILLISECONDS if self._slots.sampled else 0.0,
+            queue_delay_ms=self._slots.expected_wait(len(self._waiting)) * MS_PER_S,
+            request_ms=self._slots.request_s * MS_PER_S if self._slots.has_samples else 0.0,
             urgent=self._slots.running_urgent + self._queue.length_of(Priority.URGENT),
         )
 
     def check(self, head: RequestHead, deadline: float, now: float) -> Refused | None:
         """Return why a request would be refused now, or none when it would be taken."""
         item = self._item(head, None, deadline, now)
-        ahead = self._queue.ahead_of(item)
-        wait_s = 0.0 if self._may_start(item.priority, now) else self._slots.wait_for(ahead)
-        if not can_finish(deadline, now, wait_s, self._slots.least_s):
+        ahead = self._queue.count_ahead(item)
+        wait_s = 0.0 if self._may_start(item.priority, now) else self._slots.expected_wait(ahead)
+        if not can_finish(deadline, now, wait_s, self._slots.min_request_s):
             return self._refused(Refusal.DEADLINE)
-        if not self._may_start(item.priority, now) and not self._queue.would_take(item):
+        if not self._may_start(item.priority, now) and not self._queue.would_accept(item):
             return self._refused(Refusal.OVERLOADED)
         return None
 
@@ -181,14 +181,16 @@
         return QueueItem(payload, account, priority, weight, now, deadline)
 
     def _may_start(self, priority: Priority, now: float) -> bool:
-        if self._paused or not self._slots.has_room(priority, now):
+        if self._paused or not self._slots.has_free_slot(priority, now):
             return False
         return not any(self._queue.length_of(each) for each in Priority if each <= priority)
 
     def _fill(self, now: float) -> None:
         while self._waiting and not self._paused:
-            least = Priority.BULK if self._slots.has_room(Priority.BULK, now) else Priority.URGENT
-            item = self._queue.pop(least) if self._slots.has_room(least, now) else None
+            least = (
+                Priority.BULK if self._slots.has_free_slot(Priority.BULK, now) else Priority.URGENT
+            )
+            item = self._queue.pop(least) if self._slots.has_free_slot(least, now) else None
             if item is None:
                 return
             if can_finish(item.deadline, now, 0.0, 0.0):
@@ -197,7 +199,7 @@
                 self._drop(item, Refusal.DEADLINE)
 
     def _begin(self, item: QueueItem[Payload], now: float) -> None:
-        payload = item.taken_payload()
+        payload = item.require_payload()
         del self._waiting[payload]
         self._running[payload] = item.priority
         self._slots.begin(item.priority, now)
@@ -205,13 +207,13 @@
         self._start(payload)
 
     def _drop(self, item: QueueItem[Payload], reason: Refusal) -> None:
-        payload = item.taken_payload()
+        payload = item.require_payload()
         del self._waiting[payload]
         self._dropped(payload, self._refused(reason))
 
     def _refused(self, reason: Refusal) -> Refused:
-        wait_s = self._slots.wait_for(len(self._queue))
-        return Refused(reason, max(LEAST_RETRY_MS, int(wait_s * MILLISECONDS)))
+        wait_s = self._slots.expected_wait(len(self._queue))
+        return Refused(reason, max(LEAST_RETRY_MS, int(wait_s * MS_PER_S)))
 
     def _watch_expiry(self, now: float) -> None:
         first = min((item.deadline for item in self._waiting.values()), default=None)
@@ -225,6 +227,6 @@
     def _expire(self) -> None:
         self._expiry = None
         now = asyncio.get_running_loop().time()
-        for item in self._queue.expired(now):
+        for item in self._queue.remove_expired(now):
             self._drop(item, Refusal.DEADLINE)
         self._watch_expiry(now)
--- a/src/lacewinggw/agent/requests.py
+++ b/src/lacewinggw/agent/requests.py
@@ -13,13 +13,13 @@
 from lacewinggw.agent.target import TargetGate
 from lacewinggw.clients.engine import EngineClient
 from lacewinggw.clients.plain import PlainClient
-from lacewinggw.decisions.once import (
-    LONGEST_DEADLINE_S,
-    Absence,
-    Barred,
-    Known,
-    RunBook,
+from lacewinggw.decisions.atmostonce import (
+    MAX_DEADLINE_S,
+    AlreadyTaken,
+    Rejected,
+    RejectionCause,
     RunId,
+    RunRegistry,
     run_id,
 )
 from lacewinggw.errors import (
@@ -74,7 +74,7 @@
         self._identity = identity
         self._window = settings.requests.piece_window
         self._reservation_s = settings.requests.reservation_ms / MILLISECONDS
-        self._book = RunBook(Incarnation(identity.incarnation), rng)
+        self._book = RunRegistry(Incarnation(identity.incarnation), rng)
         self._runs: dict[RunId, Run] = {}
         self._kept = KeptRuns()
         self._draining = False
@@ -231,7 +231,7 @@
         if obstacle is not None:
             raise _obstacle_error(obstacle)
         self._check_serving(head)
-        deadline = now + min(head.deadline_ms / MILLISECONDS, LONGEST_DEADLINE_S)
+        deadline = now + min(head.deadline_ms / MILLISECONDS, MAX_DEADLINE_S)
         self._executor.check_room(head, deadline)
         self._book.take(name, now, bool(nonce))
         run = Run(name, head, body, digest, deadline)
@@ -282,15 +282,15 @@
         raise ProtocolViolation("a request without its id, its service or a sound position")
 
 
-def _obstacle_error(obstacle: Known | Barred) -> LacewingError:
-    if isinstance(obstacle, Known):
+def _obstacle_error(obstacle: AlreadyTaken | Rejected) -> LacewingError:
+    if isinstance(obstacle, AlreadyTaken):
         return AnswerGone("it ran here, and no whole answer of it is kept")
-    match obstacle.absence:
-        case Absence.WITHDRAWN:
+    match obstacle.cause:
+        case RejectionCause.WITHDRAWN:
             return Withdrawn("withdrawn before it started")
-        case Absence.LAPSED:
+        case RejectionCause.LAPSED:
             return TicketExpired("the reservation has expired, or was never given")
-        case Absence.OTHER_INCARNATION:
+        case RejectionCause.OTHER_INCARNATION:
             return HolderGone("the agent that gave the reservation is gone")
-        case Absence.FORGOTTEN:
+        case RejectionCause.FORGOTTEN:
             return HolderGone("the reservation is too old to tell whether it was used")
--- a/src/lacewinggw/agent/runs.py
+++ b/src/lacewinggw/agent/runs.py
@@ -8,7 +8,7 @@
 import hashlib
 from collections import OrderedDict
 
-from lacewinggw.decisions.once import RunId
+from lacewinggw.decisions.atmostonce import RunId
 from lacewinggw.errors import CallerLeft, LacewingError
 from lacewinggw.generated.messages.ttypes import Finish, Pieces, RequestHead
 from lacewinggw.wire.peers import Exchange
--- a/src/lacewinggw/decisions/addresses.py
+++ b/src/lacewinggw/decisions/addresses.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class EntryFacts:
+class LiveEntry:
     """A live entry: its host, its place and the address that callers use."""
 
     host: HostId
@@ -45,18 +45,18 @@
 
 
 def account_entries(
-    account: Account, entries: Iterable[EntryFacts], count: int
-) -> tuple[EntryFacts, ...]:
+    account: Account, entries: Iterable[LiveEntry], count: int
+) -> tuple[LiveEntry, ...]:
     """Return the `count` entries of an account, the same in every process.
 
     Places are taken in turn, each by its best entry, so that a lost place leaves some of them.
 
         account_entries(Account("buyers"), entries, 3)
     """
-    by_place: dict[Place, list[EntryFacts]] = {}
+    by_place: dict[Place, list[LiveEntry]] = {}
     for entry in entries:
         by_place.setdefault(entry.place, []).append(entry)
-    ranked: list[tuple[int, int, HostId, EntryFacts]] = []
+    ranked: list[tuple[int, int, HostId, LiveEntry]] = []
     for members in by_place.values():
         weighed = [
             (-rendezvous_weight(account, entry.host), entry.host, entry) for entry in members
@@ -68,7 +68,7 @@
 
 
 def answer_addresses(
-    account: Account, entries: Iterable[EntryFacts], count: int, rng: random.Random
+    account: Account, entries: Iterable[LiveEntry], count: int, rng: random.Random
 ) -> Sequence[Address]:
     """Return the addresses to tell an account, in an order that spreads its callers evenly."""
     chosen = [entry.address for entry in account_entries(account, entries, count)]
--- a/src/lacewinggw/decisions/admission.py
+++ b/src/lacewinggw/decisions/admission.py
@@ -11,9 +11,9 @@
 from lacewinggw.generated.messages.ttypes import Priority
 
 SMOOTHING = 0.1
-LEAST_RISE = 0.05  # how fast the shortest time is forgotten
-URGENT_MEMORY_S = 30.0  # so long the need for kept slots is remembered
-FIRST_GUESS_S = 0.05  # of the time one request runs, before any ran
+MIN_TIME_RECOVERY = 0.05  # how fast the shortest time is forgotten
+URGENT_WINDOW_S = 30.0  # so long the need for kept slots is remembered
+INITIAL_REQUEST_S = 0.05  # of the time one request runs, before any ran
 
 
 @dataclass
@@ -29,25 +29,25 @@
     urgent_share: float
     running: int = 0
     running_urgent: int = 0
-    request_s: float = field(default=FIRST_GUESS_S)
+    request_s: float = field(default=INITIAL_REQUEST_S)
     _urgent_peak: int = 0
     _urgent_seen_at: float = -math.inf
-    least_s: float = 0.0  # shortest that a request ran lately
-    sampled: bool = False
+    min_request_s: float = 0.0  # shortest that a request ran lately
+    has_samples: bool = False
 
-    def kept(self, now: float) -> int:
+    def reserved(self, now: float) -> int:
         """Return how many free slots are kept for urgent requests now."""
-        if now - self._urgent_seen_at > URGENT_MEMORY_S:
+        if now - self._urgent_seen_at > URGENT_WINDOW_S:
             return 0
         most = min(self.capacity - 1, math.ceil(self.capacity * self.urgent_share))
         return max(0, min(most, self._urgent_peak + 1) - self.running_urgent)
 
-    def has_room(self, priority: Priority, now: float) -> bool:
+    def has_free_slot(self, priority: Priority, now: float) -> bool:
         """Return whether a request of the priority may start now."""
         free = self.capacity - self.running
         if priority is Priority.URGENT:
             return free > 0
-        return free > self.kept(now)
+        return free > self.reserved(now)
 
     def begin(self, priority: Priority, now: float) -> None:
         """Note that a request starts."""
@@ -58,7 +58,7 @@
 
     def note_urgent(self, now: float) -> None:
         """Note that an urgent request is here."""
-        if now - self._urgent_seen_at > URGENT_MEMORY_S:
+        if now - self._urgent_seen_at > URGENT_WINDOW_S:
             self._urgent_peak = 0
         self._urgent_peak = max(self._urgent_peak, self.running_urgent)
         self._urgent_seen_at = now
@@ -70,14 +70,16 @@
             self.running_urgent -= 1
         if ran_s is None:
             return
-        if not self.sampled:
-            self.sampled = True
+        if not self.has_samples:
+            self.has_samples = True
             self.request_s = ran_s
-            self.least_s = ran_s
+            self.min_request_s = ran_s
         self.request_s += SMOOTHING * (ran_s - self.request_s)
-        self.least_s = min(ran_s, self.least_s + LEAST_RISE * (self.request_s - self.least_s))
+        self.min_request_s = min(
+            ran_s, self.min_request_s + MIN_TIME_RECOVERY * (self.request_s - self.min_request_s)
+        )
 
-    def wait_for(self, ahead: int) -> float:
+    def expected_wait(self, ahead: int) -> float:
         """Return the expected wait of a request with `ahead` others before it, in seconds."""
         if self.running < self.capacity:
             return 0.0
--- a/src/lacewinggw/decisions/affinity.py
+++ b/src/lacewinggw/decisions/affinity.py
@@ -12,20 +12,20 @@
 from dataclasses import dataclass, field
 
 from lacewinggw.decisions.addresses import rendezvous_weight
-from lacewinggw.decisions.routing import Moment, TargetFacts, occupancy, request_time
+from lacewinggw.decisions.routing import RoutingContext, TargetStats, occupancy, request_time
 from lacewinggw.ids import Digest, HostId
 
 BLOCK_CHARS = 64
-BLOCK_LIMIT = 16  # blocks of a prompt that are looked at
-KEY_DEPTH = 4  # the block that rendezvous goes by, counted from 1
+MAX_BLOCKS = 16  # blocks of a prompt that are looked at
+RENDEZVOUS_BLOCK = 4  # the block that rendezvous goes by, counted from 1
 BLOCK_NAME_DIGITS = 16
-MEMORY_LIMIT = 20_000
+MAX_INDEXED_BLOCKS = 20_000
 FREE_OCCUPANCY = 0.75  # up to this share of its capacity a target always has room
 LOAD_BOUND = 1.25  # above it, room means at most this much over the mean
 SLOW_FACTOR = 2.0  # a target this much slower than usual is left to the general choice
 
 
-def prefix_blocks(prompt: str, limit: int = BLOCK_LIMIT) -> list[str]:
+def prefix_blocks(prompt: str, limit: int = MAX_BLOCKS) -> list[str]:
     """Return a hash for each whole leading block of a prompt, the first `limit` of them."""
     running = hashlib.sha256()
     blocks = []
@@ -36,10 +36,10 @@
 
 
 @dataclass
-class PrefixMemory:
+class PrefixIndex:
     """Where blocks were sent last, the least recently used forgotten first."""
 
-    limit: int = MEMORY_LIMIT
+    limit: int = MAX_INDEXED_BLOCKS
     _hosts: OrderedDict[tuple[Digest, str], HostId] = field(default_factory=OrderedDict)
 
     def find(self, digest: Digest, blocks: Sequence[str]) -> HostId | None:
@@ -59,36 +59,38 @@
             self._hosts.popitem(last=False)
 
 
-def has_room(facts: TargetFacts, targets: Sequence[TargetFacts], moment: Moment) -> bool:
+def has_spare_capacity(
+    stats: TargetStats, targets: Sequence[TargetStats], context: RoutingContext
+) -> bool:
     """Return whether affinity may send one more request to a target."""
-    if request_time(facts, moment) > SLOW_FACTOR * moment.usual_s:
+    if request_time(stats, context) > SLOW_FACTOR * context.typical_s:
         return False
-    own = occupancy(facts, moment)
+    own = occupancy(stats, context)
     if own <= FREE_OCCUPANCY:
         return True
-    mean = sum(occupancy(each, moment) for each in targets) / len(targets)
+    mean = sum(occupancy(each, context) for each in targets) / len(targets)
     return own <= LOAD_BOUND * mean
 
 
 def preferred_target(
-    targets: Sequence[TargetFacts],
+    targets: Sequence[TargetStats],
     blocks: Sequence[str],
-    memory: PrefixMemory,
-    moment: Moment,
-) -> TargetFacts | None:
+    memory: PrefixIndex,
+    context: RoutingContext,
+) -> TargetStats | None:
     """Return the target that should have the prefix of a request, if there is one with room."""
     if not blocks or not targets:
         return None
     remembered = {
-        digest: memory.find(digest, blocks) for digest in {facts.digest for facts in targets}
+        digest: memory.find(digest, blocks) for digest in {stats.digest for stats in targets}
     }
-    for facts in targets:
-        if remembered[facts.digest] == facts.host and has_room(facts, targets, moment):
-            return facts
-    key = blocks[min(KEY_DEPTH, len(blocks)) - 1]
-    first = max(targets, key=lambda facts: _weight(key, facts))
-    return first if has_room(first, targets, moment) else None
+    for stats in targets:
+        if remembered[stats.digest] == stats.host and has_spare_capacity(stats, targets, context):
+            return stats
+    key = blocks[min(RENDEZVOUS_BLOCK, len(blocks)) - 1]
+    first = max(targets, key=lambda stats: _weight(key, stats))
+    return first if has_spare_capacity(first, targets, context) else None
 
 
-def _weight(key: str, facts: TargetFacts) -> tuple[int, HostId]:
-    return rendezvous_weight(f"{facts.digest}\0{key}", facts.host), facts.host
+def _weight(key: str, stats: TargetStats) -> tuple[int, HostId]:
+    return rendezvous_weight(f"{stats.digest}\0{key}", stats.host), stats.host
--- a/src/lacewinggw/decisions/once.py
+++ b/src/lacewinggw/decisions/atmostonce.py
@@ -22,9 +22,9 @@
 
 RunId = NewType("RunId", str)
 
-HORIZON_S = 900.0  # how long a run is remembered after it was last heard of
-LONGEST_DEADLINE_S = 600.0  # no request lives longer
-LONGEST_RESERVATION_S = 600.0
+RETENTION_S = 900.0  # how long a run is remembered after it was last heard of
+MAX_DEADLINE_S = 600.0  # no request lives longer
+MAX_RESERVATION_S = 600.0
 NONCE_BITS = 64
 NONCE_SEPARATOR = "."
 
@@ -38,7 +38,7 @@
     NEVER = "never"  # withdrawn or refused: it did not start and never will
 
 
-class Absence(Enum):
+class RejectionCause(Enum):
     """Why a run cannot be taken, though it is not known here to have started."""
 
     WITHDRAWN = "withdrawn"
@@ -48,22 +48,22 @@
 
 
 @dataclass(frozen=True)
-class Taken:
+class AcceptedRun:
     """The run may go on: this is its only time."""
 
 
 @dataclass(frozen=True)
-class Known:
+class AlreadyTaken:
     """The run was taken before."""
 
     state: RunState
 
 
 @dataclass(frozen=True)
-class Barred:
+class Rejected:
     """The run cannot go on."""
 
-    absence: Absence
+    cause: RejectionCause
 
 
 @dataclass
@@ -85,7 +85,7 @@
         return None
 
 
-class RunBook:
+class RunRegistry:
     """The runs of one incarnation of an agent, by the agent's own clock.
 
     Reservations are held until they expire, runs until `HORIZON_S` after they ended. Of those
@@ -121,34 +121,36 @@
         secret = f"{self._rng.getrandbits(NONCE_BITS):0{NONCE_BITS // 4}x}"
         parts = (self._incarnation, f"{self._issued:x}", secret)
         nonce = RunId(NONCE_SEPARATOR.join(parts))
-        self._reserved[nonce] = now + min(life_s, LONGEST_RESERVATION_S)
+        self._reserved[nonce] = now + min(life_s, MAX_RESERVATION_S)
         return nonce
 
-    def look_up(self, run: RunId, now: float, is_nonce: bool) -> Known | Barred | None:
+    def look_up(self, run: RunId, now: float, is_nonce: bool) -> AlreadyTaken | Rejected | None:
         """Return what stands against taking a run, None when it may be taken."""
         self._prune(now)
         record = self._records.get(run)
         if record is not None:
             if record.state is RunState.NEVER:
-                return Barred(Absence.WITHDRAWN)
-            return Known(record.state)
+                return Rejected(RejectionCause.WITHDRAWN)
+            return AlreadyTaken(record.state)
         if not is_nonce:
             return None
         if self._is_out_of_sight(run):
             foreign = nonce_incarnation(run) != self._incarnation
-            return Barred(Absence.OTHER_INCARNATION if foreign else Absence.FORGOTTEN)
+            return Rejected(
+                RejectionCause.OTHER_INCARNATION if foreign else RejectionCause.FORGOTTEN
+            )
         if self._reserved.get(run, now) <= now:
-            return Barred(Absence.LAPSED)
+            return Rejected(RejectionCause.LAPSED)
         return None
 
-    def take(self, run: RunId, now: float, is_nonce: bool) -> Taken | Known | Barred:
+    def take(self, run: RunId, now: float, is_nonce: bool) -> AcceptedRun | AlreadyTaken | Rejected:
         """Take a run, which succeeds once."""
         obstacle = self.look_up(run, now, is_nonce)
         if obstacle is not None:
             return obstacle
         self._reserved.pop(run, None)
         self._records[run] = _Record(RunState.TAKEN, now)
-        return Taken()
+        return AcceptedRun()
 
     def start(self, run: RunId, now: float) -> bool:
         """Note that a run taken before starts now; return False when it was withdrawn."""
@@ -198,7 +200,7 @@
     def _prune(self, now: float) -> None:
         while self._records:
             run, record = next(iter(self._records.items()))
-            if record.at > now - HORIZON_S or record.state is RunState.STARTED:
+            if record.at > now - RETENTION_S or record.state is RunState.STARTED:
                 break
             del self._records[run]
             number = _nonce_number(run) if nonce_incarnation(run) == self._incarnation else None
--- a/src/lacewinggw/decisions/crashes.py
+++ b/src/lacewinggw/decisions/crashes.py
@@ -30,11 +30,11 @@
 SETTLE_S = 0.5
 # A request that ends targets does so until its operators have changed them: some hours at most.
 QUARANTINE_S = 3600.0
-MEMORY_S = 3600.0  # how long a crash is remembered
-MOST_REQUESTS = 4096  # remembered; 250 targets may end at once, with 16 requests each
+RETENTION_S = 3600.0  # how long a crash is remembered
+MAX_REQUESTS = 4096  # remembered; 250 targets may end at once, with 16 requests each
 
 
-class Standing(Enum):
+class CrashStatus(Enum):
     """What is thought of a request."""
 
     CLEAR = "clear"
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class CrashLedger:
+class CrashTracker:
     """What is known of crashes; times in seconds by one clock.
 
     if ledger.note_crash(Crash(request, target, sent_at, now), now): ...  # new: tell the others
@@ -82,7 +82,7 @@
         return not (self._crashes or self._quarantined)
 
     @property
-    def next_look(self) -> float:
+    def next_check_at(self) -> float:
         """When `judge` or `expired` may have something new to say; infinite while nothing is."""
         return min(self._judge_at, min(self._quarantined.values(), default=math.inf))
 
@@ -105,7 +105,7 @@
         """Return on how many targets a request was as they ended, those of others included."""
         return len(self._crashes.get(request, ()))
 
-    def targets_in_turn(self, request: RequestDigest) -> list[TargetId]:
+    def sequential_targets(self, request: RequestDigest) -> list[TargetId]:
         """Return the targets that ended under a request one after the other.
 
         Those that ended under one that is kept away count only for that one.
@@ -116,7 +116,7 @@
 
     def note_crash(self, crash: Crash, now: float) -> bool:
         """Take a crash; return whether it was not known, and counts."""
-        if self._served.get(crash.request, -math.inf) >= crash.at or now - crash.at > MEMORY_S:
+        if self._served.get(crash.request, -math.inf) >= crash.at or now - crash.at > RETENTION_S:
             return False
         known = self._crashes.setdefault(crash.request, {})
         if crash.target in known:
@@ -154,28 +154,28 @@
         self._explained.update(self._crashes.get(request, ()))
         return True
 
-    def lift(self, request: RequestDigest) -> bool:
+    def lift_quarantine(self, request: RequestDigest) -> bool:
         """Let a request reach targets again; return whether it was kept away."""
         self._crashes.pop(request, None)
         return self._quarantined.pop(request, None) is not None
 
-    def expired(self, now: float) -> list[RequestDigest]:
+    def expired_quarantines(self, now: float) -> list[RequestDigest]:
         """Return the requests that have been kept away for long enough."""
         return [request for request, until in self._quarantined.items() if until <= now]
 
-    def time_left(self, request: RequestDigest, now: float) -> float:
+    def quarantine_left(self, request: RequestDigest, now: float) -> float:
         """Return how long a request is still kept away, in seconds."""
         return max(0.0, self._quarantined.get(request, now) - now)
 
-    def standing(self, request: RequestDigest, now: float) -> Standing:
+    def status(self, request: RequestDigest, now: float) -> CrashStatus:
         """Return what is thought of a request."""
-        if self.time_left(request, now) > 0:
-            return Standing.QUARANTINED
+        if self.quarantine_left(request, now) > 0:
+            return CrashStatus.QUARANTINED
         if len(self._unexplained(request)) >= SUSPECT_CRASHES:
-            return Standing.SUSPECT
-        return Standing.CLEAR
+            return CrashStatus.SUSPECT
+        return CrashStatus.CLEAR
 
-    def judge(self, now: float) -> list[RequestDigest]:
+    def quarantine_culprits(self, now: float) -> list[RequestDigest]:
         """Return the requests that are found to end targets, and keep them away from now on."""
         found: list[RequestDigest] = []
         if now < self._judge_at:
@@ -227,17 +227,17 @@
 
     def _forget(self, now: float) -> None:
         """Forget requests that were seen long ago, and the oldest when there are too many."""
-        while len(self._crashes) > MOST_REQUESTS:
+        while len(self._crashes) > MAX_REQUESTS:
             del self._crashes[next(iter(self._crashes))]
         while self._crashes:
             oldest = next(iter(self._crashes))
             last = max(each.learned_at for each in self._crashes[oldest].values())
-            if now - last <= MEMORY_S:
+            if now - last <= RETENTION_S:
                 break
             del self._crashes[oldest]
         remembered = {target for known in self._crashes.values() for target in known}
         self._explained &= remembered
-        while len(self._served) > MOST_REQUESTS:
+        while len(self._served) > MAX_REQUESTS:
             del self._served[next(iter(self._served))]
 
 
--- a/src/lacewinggw/decisions/deadlines.py
+++ b/src/lacewinggw/decisions/deadlines.py
@@ -5,19 +5,19 @@
 """
 
 HOP_ALLOWANCE_S = 0.005
-MILLISECONDS = 1000.0
-LONGEST_S = 86400.0
+MS_PER_S = 1000.0
+MAX_TIME_LEFT_S = 86400.0
 
 
-def deadline_at(time_left_ms: int, usual_ms: int, now: float) -> float:
+def deadline_at(time_left_ms: int, default_ms: int, now: float) -> float:
     """Return the moment by which a request must be answered; `usual_ms` when it names no time."""
-    left_s = (time_left_ms if time_left_ms > 0 else usual_ms) / MILLISECONDS
-    return now + min(left_s, LONGEST_S)
+    left_s = (time_left_ms if time_left_ms > 0 else default_ms) / MS_PER_S
+    return now + min(left_s, MAX_TIME_LEFT_S)
 
 
 def time_left_ms(deadline: float, now: float, allowance_s: float = HOP_ALLOWANCE_S) -> int:
     """Return the time left to pass on, in milliseconds; 0 or less when there is none."""
-    return int((deadline - now - allowance_s) * MILLISECONDS)
+    return int((deadline - now - allowance_s) * MS_PER_S)
 
 
 def has_expired(deadline: float, now: float) -> bool:
--- a/src/lacewinggw/decisions/fairness.py
+++ b/src/lacewinggw/decisions/fairness.py
@@ -16,7 +16,7 @@
 from lacewinggw.generated.messages.ttypes import Priority
 from lacewinggw.ids import Account
 
-HIGHER_RUN = 9  # turns of higher priorities in a row while a lower one waits
+MAX_HIGHER_IN_ROW = 9  # turns of higher priorities in a row while a lower one waits
 
 Payload = TypeVar("Payload")
 
@@ -33,7 +33,7 @@
     deadline: float
     finish_tag: float = 0.0
 
-    def taken_payload(self) -> Payload:
+    def require_payload(self) -> Payload:
         """Return the payload of an item that was queued."""
         assert self.payload is not None, "only weighed, never queued"
         return self.payload
@@ -135,7 +135,8 @@
         if not waiting:
             return None
         chosen = next(
-            (each for each in waiting if self._lanes[each].passed_over >= HIGHER_RUN), waiting[0]
+            (each for each in waiting if self._lanes[each].passed_over >= MAX_HIGHER_IN_ROW),
+            waiting[0],
         )
         for each in waiting:
             self._lanes[each].passed_over += each > chosen
@@ -146,14 +147,14 @@
         """Take out a request that waits no more."""
         self._lanes[item.priority].remove(item)
 
-    def ahead_of(self, item: QueueItem[Payload]) -> int:
+    def count_ahead(self, item: QueueItem[Payload]) -> int:
         """Return how many waiting requests an item would come after."""
         lane = self._lanes[item.priority]
         tag = lane.next_tag(item)
         same = sum(each.finish_tag <= tag for each in _items(lane))
         return same + sum(self._lanes[each].length for each in Priority if each < item.priority)
 
-    def would_take(self, item: QueueItem[Payload]) -> bool:
+    def would_accept(self, item: QueueItem[Payload]) -> bool:
         """Return whether an item would stay in the queue if it were pushed now."""
         if len(self) < self.limit:
             return True
@@ -162,7 +163,7 @@
             return item.priority < lowest
         return self._lanes[lowest].most_over_share(item) != item.account
 
-    def expired(self, now: float) -> list[QueueItem[Payload]]:
+    def remove_expired(self, now: float) -> list[QueueItem[Payload]]:
         """Take out and return the requests whose deadline has passed."""
         late = [item for item in self if item.deadline <= now]
         for item in late:
--- a/src/lacewinggw/decisions/limits.py
+++ b/src/lacewinggw/decisions/limits.py
@@ -12,12 +12,12 @@
 
 from lacewinggw.ids import Account, HostId
 
-METER_MEMORY_S = 1.0
-LONGEST_GAP = 8.0  # mean gaps between events: a longer one means that the rate has fallen
+RATE_DECAY_S = 1.0
+MAX_MEAN_GAPS = 8.0  # mean gaps between events: a longer one means that the rate has fallen
 BURST_S = 1.0  # an idle account may save up so much of its rate
-LEAST_BURST = 2.0
-LEAST_SHARE = 0.02  # of an even share: the least that an entry keeps
-LONGEST_RETRY_S = 10.0
+MIN_BURST = 2.0
+MIN_SHARE = 0.02  # of an even share: the least that an entry keeps
+MAX_RETRY_AFTER_S = 10.0
 
 
 @dataclass(frozen=True)
@@ -51,14 +51,14 @@
 
 
 @dataclass
-class RateMeter:
+class SmoothedRate:
     """A smoothed rate of events, per second.
 
     It falls at once when events stop: after a gap that the smoothed rate would hardly ever leave,
     it is the rate that leaves such a gap.
     """
 
-    memory_s: float = METER_MEMORY_S
+    memory_s: float = RATE_DECAY_S
     _rate: float = 0.0
     _at: float | None = None
 
@@ -68,7 +68,7 @@
         self._rate = self._rate * math.exp(-gap / self.memory_s) + count / self.memory_s
         self._at = now
 
-    def quiet_s(self, now: float) -> float:
+    def idle_s(self, now: float) -> float:
         """Return for how long no event was counted, in seconds."""
         return math.inf if self._at is None else now - self._at
 
@@ -78,7 +78,7 @@
             return 0.0
         gap = now - self._at
         smoothed = self._rate * math.exp(-gap / self.memory_s)
-        return smoothed if smoothed * gap <= LONGEST_GAP else 1.0 / gap
+        return smoothed if smoothed * gap <= MAX_MEAN_GAPS else 1.0 / gap
 
 
 def split_limit(total: float, demands: Mapping[HostId, float]) -> dict[HostId, float]:
@@ -88,7 +88,7 @@
     """
     if not demands:
         return {}
-    least = LEAST_SHARE * total / len(demands)
+    least = MIN_SHARE * total / len(demands)
     shares: dict[HostId, float] = {}
     left = total
     by_demand = sorted(demands, key=lambda host: (demands[host], host))
@@ -115,7 +115,7 @@
     @property
     def burst(self) -> float:
         """The most tokens that are saved up."""
-        return max(LEAST_BURST, self.rate * BURST_S)
+        return max(MIN_BURST, self.rate * BURST_S)
 
     def refill(self, now: float) -> None:
         """Add the tokens of the time since the last call."""
@@ -142,7 +142,7 @@
         """Return when a refused request may come back; each refusal is told a later moment."""
         self.promised += 1.0
         lack = self.promised - max(0.0, self.tokens - 1.0)
-        return min(LONGEST_RETRY_S, max(lack, 1.0) / max(self.rate, 1.0 / LONGEST_RETRY_S))
+        return min(MAX_RETRY_AFTER_S, max(lack, 1.0) / max(self.rate, 1.0 / MAX_RETRY_AFTER_S))
 
 
 @dataclass(frozen=True)
@@ -151,7 +151,7 @@
 
     offered_per_s: float
     running: int
-    heard_at: float
+    received_at: float
 
 
 @dataclass
@@ -162,9 +162,9 @@
     bucket: TokenBucket
     concurrency: float
     running: int = 0
-    wanted_running: RateMeter = field(default_factory=RateMeter)
-    offered: RateMeter = field(default_factory=RateMeter)
-    admitted: RateMeter = field(default_factory=RateMeter)
+    wanted_running: SmoothedRate = field(default_factory=SmoothedRate)
+    offered: SmoothedRate = field(default_factory=SmoothedRate)
+    admitted: SmoothedRate = field(default_factory=SmoothedRate)
     reports: dict[HostId, DemandReport] = field(default_factory=dict)
 
     @classmethod
@@ -173,7 +173,7 @@
     ) -> "AccountShare":
         """Start with an even share over `entries`."""
         rate = declared.rate_per_s / max(1, entries)
-        bucket = TokenBucket(rate, tokens=max(LEAST_BURST, rate * BURST_S), at=now)
+        bucket = TokenBucket(rate, tokens=max(MIN_BURST, rate * BURST_S), at=now)
         return cls(declared, bucket, declared.concurrency / max(1, entries))
 
     def rebalance(self, me: HostId, entries: frozenset[HostId], now: float, stale_s: float) -> None:
@@ -182,7 +182,7 @@
         Entries beside those of the account count only while they report demand.
         """
         for host in [
-            host for host, report in self.reports.items() if now - report.heard_at > stale_s
+            host for host, report in self.reports.items() if now - report.received_at > stale_s
         ]:
             del self.reports[host]
         rates = dict.fromkeys(entries | {me}, 0.0)
--- a/src/lacewinggw/decisions/linkdelay.py
+++ b/src/lacewinggw/decisions/linkdelay.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass
 
-DRIFT = 2e-4  # of the time that passes: clocks of two hosts drift apart by half of it at most
+CLOCK_DRIFT = 2e-4  # of the time that passes: clocks of two hosts drift apart by half of it at most
 DECAY_S = 1.0  # what a message showed that long ago counts for 1/e: the queue of a link moves
 
 
@@ -29,7 +29,7 @@
         """Note a message that was sent at `sent_s` by its sender's clock, in seconds."""
         took_s = now - sent_s
         if math.isfinite(self._least_s):
-            self._least_s += DRIFT * (now - self._noted_at)
+            self._least_s += CLOCK_DRIFT * (now - self._noted_at)
         self._least_s = min(self._least_s, took_s)
         self.note_wait(took_s - self._least_s, now)
 
--- a/src/lacewinggw/decisions/nearby.py
+++ b/src/lacewinggw/decisions/locality.py
@@ -15,9 +15,11 @@
 from lacewinggw.decisions.pollers import ranked
 from lacewinggw.ids import Address, HostId, Place
 
-NEAR_LEAST = 2  # entries of the caller's own place that are enough without others
-ANSWER_MOST = 64  # addresses that an answer may hold
-FAR_WATCHED = 2  # agents of each other place: two spread what spills over, and one may fail
+MIN_NEAR_ENTRIES = 2  # entries of the caller's own place that are enough without others
+MAX_ADDRESSES = 64  # addresses that an answer may hold
+AGENTS_PER_FAR_PLACE = (
+    2  # agents of each other place: two spread what spills over, and one may fail
+)
 
 
 @dataclass(frozen=True)
@@ -36,14 +38,14 @@
     known = list(entries)
     region = regions.get(place, "")
     near = [entry for entry in known if entry.place == place]
-    if len(near) < NEAR_LEAST:
+    if len(near) < MIN_NEAR_ENTRIES:
         near = [entry for entry in known if region and regions.get(entry.place) == region]
-    if len(near) < NEAR_LEAST:
+    if len(near) < MIN_NEAR_ENTRIES:
         near = known
-    return sorted(entry.address for entry in near)[:ANSWER_MOST]
+    return sorted(entry.address for entry in near)[:MAX_ADDRESSES]
 
 
-def choose_watched(me: HostId, place: Place, agents: Mapping[HostId, Place]) -> set[HostId]:
+def choose_agents(me: HostId, place: Place, agents: Mapping[HostId, Place]) -> set[HostId]:
     """Return the agents that an entry hears: all of its place, a few of each other.
 
     Which few differs from entry to entry, so that all agents are heard by about as many.
@@ -51,5 +53,7 @@
     watched = {host for host, where in agents.items() if where == place}
     for other in set(agents.values()) - {place}:
         hosts = (host for host, where in agents.items() if where == other)
-        watched.update(HostId(host) for host in ranked(f"watched by {me}", hosts)[:FAR_WATCHED])
+        watched.update(
+            HostId(host) for host in ranked(f"watched by {me}", hosts)[:AGENTS_PER_FAR_PLACE]
+        )
     return watched
--- a/src/lacewinggw/decisions/outcomes.py
+++ b/src/lacewinggw/decisions/outcomes.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Situation:
+class AttemptContext:
     """Where a request stands when a try ends.
 
     `delivered` counts pieces received so far; `resumable` tells whether the target's kind can go on
@@ -52,19 +52,19 @@
     repeatable: bool
     delivered: int = 0
     resumable: bool = True
-    recallable: bool = True
+    discardable: bool = True
     may_have_run: bool = False
 
 
 @dataclass(frozen=True)
-class TryAgain:
+class Retry:
     """Try another target, from the piece after those delivered."""
 
     reason: RetryReason
 
 
 @dataclass(frozen=True)
-class StartOver:
+class Restart:
     """Throw away what was received, and try another target from the first piece."""
 
     reason: RetryReason
@@ -77,19 +77,19 @@
     error: LacewingError
 
 
-Step = TryAgain | StartOver | GiveUp
+Step = Retry | Restart | GiveUp
 
 
-def is_proof(error: LacewingError) -> bool:
+def proves_not_run(error: LacewingError) -> bool:
     """Return whether a try that ended so certainly did not run."""
     return error.outcome is Outcome.NOT_RUN or isinstance(error, Unreachable)
 
 
-def next_step(error: LacewingError, situation: Situation) -> Step:
+def next_step(error: LacewingError, situation: AttemptContext) -> Step:
     """Return what to do after a try ended with `error`."""
     if isinstance(error, DeadlinePassed | DeadlineTooNear):
         return GiveUp(final_error(error, situation))
-    if is_proof(error):
+    if proves_not_run(error):
         reason = _RETRY_REASONS.get(type(error))
         if reason is None:
             return GiveUp(final_error(error, situation))
@@ -101,14 +101,14 @@
     return _again(reason, error, situation)
 
 
-def _again(reason: RetryReason, error: LacewingError, situation: Situation) -> Step:
+def _again(reason: RetryReason, error: LacewingError, situation: AttemptContext) -> Step:
     if situation.delivered == 0:
-        return TryAgain(reason)
+        return Retry(reason)
     moved = isinstance(error, NoTarget | ReleaseMoved | AnswerIncomplete)
     if situation.resumable and not moved:
-        return TryAgain(RetryReason.STREAM_RESUMED)
-    if situation.recallable:
-        return StartOver(RetryReason.STREAM_RESTARTED)
+        return Retry(RetryReason.STREAM_RESUMED)
+    if situation.discardable:
+        return Restart(RetryReason.STREAM_RESTARTED)
     return GiveUp(final_error(error, situation))
 
 
@@ -119,10 +119,10 @@
     return RequestUnknown(f"an earlier try may have run; the last thing met: {error.reason}")
 
 
-def final_error(error: LacewingError, situation: Situation) -> LacewingError:
+def final_error(error: LacewingError, situation: AttemptContext) -> LacewingError:
     """Return the error to tell the caller: one of "not run" or "unknown", never without."""
     told = error
-    if is_proof(error) and not situation.may_have_run:
+    if proves_not_run(error) and not situation.may_have_run:
         if error.outcome is not Outcome.NOT_RUN:
             told = NoTarget(error.reason, retry_after_ms=error.retry_after_ms)
     elif error.outcome is not Outcome.UNKNOWN:
--- a/src/lacewinggw/decisions/retries.py
+++ b/src/lacewinggw/decisions/retries.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 WINDOW_S = 10
-LEAST = 3  # retries allowed in a window however few the requests
+MIN_RETRIES = 3  # retries allowed in a window however few the requests
 
 
 @dataclass
@@ -48,7 +48,7 @@
         while self._retries and self._retries[0] <= now - self.window_s:
             self._retries.popleft()
         requests = sum(each.requests for each in self._seconds)
-        if len(self._retries) + 1 > max(LEAST, requests * self.share + self.extra):
+        if len(self._retries) + 1 > max(MIN_RETRIES, requests * self.share + self.extra):
             return False
         self._retries.append(now)
         self._retries_to_come += 1
--- a/src/lacewinggw/decisions/slots.py
+++ b/src/lacewinggw/decisions/slots.py
@@ -19,21 +19,21 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lacewinggw.decisions.targetload import LATE_ROOM
-from lacewinggw.decisions.waiting import Waiter, WaitingLine
+from lacewinggw.decisions.targetload import LATE_SLOT_SHARE
+from lacewinggw.decisions.waitqueue import Waiter, WaitQueue
 from lacewinggw.ids import LeaseId, RequestDigest
 
 # Until a request that has a lease shows in a target's report: the lease's way to the entry, a
 # connection, and the pause between two reports.
-SHOWN_S = 0.4
+REPORT_DELAY_S = 0.4
 # Of prompts that a target has yet to read. Each delays the first events of all that came with it,
 # so a slot that falls free while there are more waits: two prompts of usual length.
-READING_MOST_S = 0.15
-PACE_MEMORY = 0.1  # weight of one start in the usual time between two
+MAX_PREFILL_BACKLOG_S = 0.15
+START_GAP_WEIGHT = 0.1  # weight of one start in the usual time between two
 
 
 @dataclass(frozen=True)
-class SlotWish:
+class SlotRequest:
     """What a request needs of a target's slots.
 
     `rank` 0 goes first; one that `is_late` cannot be on time any more. It has waited `waited_s`
@@ -44,7 +44,7 @@
     rank: int
     is_late: bool
     wait_s: float
-    reading_s: float = 0.0
+    prefill_s: float = 0.0
     suspect: RequestDigest | None = None
     waited_s: float = 0.0
 
@@ -53,13 +53,13 @@
 class _Lease:
     """A lease that was asked for; given at `given_at`, if it was."""
 
-    wish: SlotWish
+    wish: SlotRequest
     waiter: Waiter | None = None
     given_at: float | None = None
 
 
 @dataclass
-class SlotLedger:
+class SlotAllocator:
     """Who has the slots of a target, and who waits for one; times in seconds.
 
     ledger = SlotLedger(slots=8)
@@ -74,7 +74,7 @@
     slots: int = 0
     is_open: bool = False
     _leases: dict[LeaseId, _Lease] = field(default_factory=dict)
-    _line: WaitingLine = field(default_factory=WaitingLine)
+    _line: WaitQueue = field(default_factory=WaitQueue)
     _waiting: dict[int, LeaseId] = field(default_factory=dict)
     _given: int = 0
     _correction: int = 0
@@ -104,20 +104,20 @@
             self._forget(lease)
         return waited
 
-    def ask(self, lease: LeaseId, wish: SlotWish, now: float) -> None:
+    def enqueue(self, lease: LeaseId, wish: SlotRequest, now: float) -> None:
         """Take a request for a slot into the line."""
         if not self.waiting:
             self._waited_since = now
         until = now + wish.wait_s
-        waiter = self._line.join(wish.rank, wish.is_late, until, now - wish.waited_s)
+        waiter = self._line.add(wish.rank, wish.is_late, until, now - wish.waited_s)
         self._leases[lease] = _Lease(wish, waiter)
         self._waiting[id(waiter)] = lease
 
-    def end(self, lease: LeaseId) -> None:
+    def release(self, lease: LeaseId) -> None:
         """Note that a slot is not needed any more, or not waited for."""
         self._forget(lease)
 
-    def give(self, now: float) -> list[LeaseId]:
+    def grant(self, now: float) -> list[LeaseId]:
         """Return those that have a slot from now on."""
         return list(self._give(now)) if self.is_open else []
 
@@ -135,16 +135,16 @@
             self._forget(lease)
         return dropped
 
-    def next_look(self, now: float) -> float | None:
+    def next_check_at(self, now: float) -> float | None:
         """Return when prompts are read by which one more may start, None when nobody waits."""
         if not self.waiting:
             return None
-        return max(now, self._read_by - READING_MOST_S)
+        return max(now, self._read_by - MAX_PREFILL_BACKLOG_S)
 
     def note_report(self, running: int, now: float) -> None:
         """Take how many requests the target has by its own report, running and queued."""
         shown = sum(
-            lease.given_at is not None and lease.given_at <= now - SHOWN_S
+            lease.given_at is not None and lease.given_at <= now - REPORT_DELAY_S
             for lease in self._leases.values()
         )
         if running > self._given:
@@ -165,20 +165,20 @@
                 if lease.wish.is_late:
                     continue
                 return
-            self._start_gap_s += PACE_MEMORY * (now - self._waited_since - self._start_gap_s)
+            self._start_gap_s += START_GAP_WEIGHT * (now - self._waited_since - self._start_gap_s)
             self._waited_since = now
             self._leave_line(lease)
             lease.given_at = now
             self._given += 1
-            self._read_by = max(now, self._read_by) + lease.wish.reading_s
+            self._read_by = max(now, self._read_by) + lease.wish.prefill_s
             yield key
 
-    def _has_room(self, wish: SlotWish, now: float) -> bool:
-        if self._read_by - now >= READING_MOST_S:
+    def _has_room(self, wish: SlotRequest, now: float) -> bool:
+        if self._read_by - now >= MAX_PREFILL_BACKLOG_S:
             return False
-        return self.taken < self.slots * (LATE_ROOM if wish.is_late else 1.0)
+        return self.taken < self.slots * (LATE_SLOT_SHARE if wish.is_late else 1.0)
 
-    def _has_other_suspect(self, wish: SlotWish) -> bool:
+    def _has_other_suspect(self, wish: SlotRequest) -> bool:
         """Return whether a request and one that runs are suspects: an end would tell of neither."""
         if wish.suspect is None:
             return False
@@ -202,5 +202,5 @@
     def _leave_line(self, lease: _Lease) -> None:
         if lease.waiter is not None:
             self._waiting.pop(id(lease.waiter), None)
-            self._line.leave(lease.waiter)
+            self._line.remove(lease.waiter)
             lease.waiter = None
--- a/src/lacewinggw/decisions/subsets.py
+++ b/src/lacewinggw/decisions/subsets.py
@@ -14,11 +14,11 @@
 from lacewinggw.ids import Address, HostId, Place
 
 RING = "ring"
-NEAR_SHARE = 2  # at most one in so many of a subset is there for being near
+NEAR_DIVISOR = 2  # at most one in so many of a subset is there for being near
 
 
 @dataclass(frozen=True)
-class HostFacts:
+class TargetHost:
     """A live host with a target: its place and its agent's address."""
 
     host: HostId
@@ -33,14 +33,14 @@
 
 
 def pick_subset(
-    entry: HostId, place: Place, position: float, hosts: Sequence[HostFacts], size: int
-) -> list[HostFacts]:
+    entry: HostId, place: Place, position: float, hosts: Sequence[TargetHost], size: int
+) -> list[TargetHost]:
     """Return at most `size` hosts for `entry`, whose stretch of the ring begins at `position`."""
     if len(hosts) <= size:
         return list(hosts)
     by_host = {facts.host: facts for facts in hosts}
     near = [facts.host for facts in hosts if facts.place == place]
-    chosen = rank_hosts(entry, near)[: size // NEAR_SHARE]
+    chosen = rank_hosts(entry, near)[: size // NEAR_DIVISOR]
     ring = rank_hosts(RING, by_host)
     start = int(position * len(ring))
     taken = set(chosen)
--- a/src/lacewinggw/decisions/targetbackoff.py
+++ b/src/lacewinggw/decisions/targetbackoff.py
@@ -11,10 +11,10 @@
 import math
 from dataclasses import dataclass
 
-SPREAD_SHARE = 0.1  # of a back-off, by which it ends later at most
-SPREAD_MOST_S = 0.5
-FULL_PAUSE_S = 0.05  # after the first refusal: a request ends about as often at a full target
-REFUSALS_MOST = 5  # that count, so that a target that is well again is found out within 0.8 s
+JITTER_SHARE = 0.1  # of a back-off, by which it ends later at most
+MAX_JITTER_S = 0.5
+FIRST_PAUSE_S = 0.05  # after the first refusal: a request ends about as often at a full target
+MAX_REFUSALS = 5  # that count, so that a target that is well again is found out within 0.8 s
 
 
 @dataclass
@@ -34,11 +34,11 @@
     def note_refused(self, sent_at: float, now: float) -> float:
         """Note a refusal of a request sent at a moment; return how long to send nothing."""
         if sent_at >= self._refused_at:
-            self._refusals = min(REFUSALS_MOST, self._refusals + 1)
+            self._refusals = min(MAX_REFUSALS, self._refusals + 1)
             self._refused_at = now
-        return FULL_PAUSE_S * 2.0 ** (self._refusals - 1)
+        return FIRST_PAUSE_S * 2.0 ** (self._refusals - 1)
 
-    def note_taken(self) -> None:
+    def note_accepted(self) -> None:
         """Note that the target took a request."""
         self._refusals = 0
 
@@ -56,13 +56,13 @@
     _trials: int | None = None  # requests it may have at a time; None once it has taken enough
     _on_trial: int = 0
 
-    def note_asked(self, retry_after_s: float, now: float, drawn: float) -> None:
+    def note_requested(self, retry_after_s: float, now: float, jitter: float) -> None:
         """Note that a target asks for a back-off; `drawn` is a share, drawn at random.
 
         The longest of what is known holds: answers overtake each other.
         """
-        spread_s = min(SPREAD_SHARE * retry_after_s, SPREAD_MOST_S)
-        self.until = max(self.until, now + retry_after_s + drawn * spread_s)
+        spread_s = min(JITTER_SHARE * retry_after_s, MAX_JITTER_S)
+        self.until = max(self.until, now + retry_after_s + jitter * spread_s)
         self._trials = 1
 
     def is_over(self, now: float) -> bool:
@@ -83,7 +83,7 @@
         """Note that such a request is over."""
         self._on_trial -= 1
 
-    def note_taken(self, sent_at: float, slots: int) -> None:
+    def note_accepted(self, sent_at: float, slots: int) -> None:
         """Note that the target took a request; one that was sent before says nothing."""
         if self._trials is None or sent_at < self.until:
             return
--- a/src/lacewinggw/decisions/targetlist.py
+++ b/src/lacewinggw/decisions/targetlist.py
@@ -15,7 +15,7 @@
     LEAVING = "leaving"
 
 
-def start_of(name: TargetName, born_ms: int) -> TargetId:
+def make_target_id(name: TargetName, born_ms: int) -> TargetId:
     """Return the id of one start of a target, from its name and when that start was born.
 
     >>> start_of(TargetName("i-7f3a"), 1764700000000)
@@ -50,7 +50,7 @@
     @cached_property
     def target(self) -> TargetId:
         """The id of this start."""
-        return start_of(self.name, self.born_ms)
+        return make_target_id(self.name, self.born_ms)
 
 
 @dataclass(frozen=True)
--- a/src/lacewinggw/decisions/targetrate.py
+++ b/src/lacewinggw/decisions/targetrate.py
@@ -23,15 +23,15 @@
 # more, all that is saved, spent at one moment, is half of what the target asks for in four seconds
 # and three requests.
 HOLDERS_PER_RATE = 2
-HOLDERS_LEAST = 3
+MIN_HOLDERS = 3
 # A target that allows less still gets this much, as only an answer tells that the limit is over.
-LEAST_PER_S = 0.2
+MIN_RATE_PER_S = 0.2
 # An update of the same limit counts once it is so much newer: each is a little older on arrival
 # than it looks, and would go back and forth.
 REFRESH_S = 0.25
 
 
-class Source(Enum):
+class LimitSource(Enum):
     """How this entry knows of a limit."""
 
     ANSWER = "answer"  # by an answer of the target itself
@@ -49,22 +49,22 @@
 
     per_s: float | None = None
     seen_at: float = -math.inf
-    source: Source = Source.ANSWER
+    source: LimitSource = LimitSource.ANSWER
 
-    def note_answer(self, per_s: float | None, asked_at: float, now: float) -> bool:
+    def note_answer(self, per_s: float | None, sent_at: float, now: float) -> bool:
         """Take what an answer to a request sent at `asked_at` says; return whether it is new."""
-        if per_s is None and (self.per_s is None or asked_at < self.seen_at):
+        if per_s is None and (self.per_s is None or sent_at < self.seen_at):
             return False
-        return self._take(per_s, now, Source.ANSWER)
+        return self._take(per_s, now, LimitSource.ANSWER)
 
-    def note_update(self, per_s: float | None, seen_at: float, source: Source) -> bool:
+    def note_update(self, per_s: float | None, seen_at: float, source: LimitSource) -> bool:
         """Take what another entry saw at `seen_at`; return whether it is new."""
         margin_s = REFRESH_S if per_s == self.per_s else 0.0
         if seen_at <= self.seen_at + margin_s:
             return False
         return self._take(per_s, seen_at, source)
 
-    def _take(self, per_s: float | None, seen_at: float, source: Source) -> bool:
+    def _take(self, per_s: float | None, seen_at: float, source: LimitSource) -> bool:
         is_new = per_s != self.per_s
         self.per_s, self.seen_at, self.source = per_s, seen_at, source
         return is_new
@@ -114,12 +114,12 @@
         self.filled_at = max(self.filled_at, now)
 
 
-def share_of(
+def entry_share(
     me: HostId, target: TargetId, place: Place, per_s: float, entries: Iterable[KnownEntry]
 ) -> float:
     """Return how many requests a second an entry may send to a target in `place`; mostly 0."""
     holders = choose_holders(target, place, per_s, entries)
-    return max(per_s, LEAST_PER_S) / len(holders) if me in holders else 0.0
+    return max(per_s, MIN_RATE_PER_S) / len(holders) if me in holders else 0.0
 
 
 def choose_holders(
@@ -132,5 +132,5 @@
     known = list(entries)
     near = ranked(f"limit of {target}", (each.host for each in known if each.place == place))
     far = ranked(f"limit of {target}", (each.host for each in known if each.place != place))
-    count = HOLDERS_LEAST + math.floor(HOLDERS_PER_RATE * per_s)
+    count = MIN_HOLDERS + math.floor(HOLDERS_PER_RATE * per_s)
     return [HostId(host) for host in [*near, *far][:count]]
--- a/src/lacewinggw/decisions/waiting.py
+++ b/src/lacewinggw/decisions/waitqueue.py
@@ -14,10 +14,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-RATE_MEMORY = 0.1  # weight of a new sample in the smoothed time between starts
-LATE_MEMORY = 0.1  # weight of one late request in the share of them that started
-LATE_LEAST = 0.1  # so that there is always a sample
-LONGEST_GAP_S = 0.5  # a pause in demand says nothing of how fast targets take work
+START_GAP_WEIGHT = 0.1  # weight of a new sample in the smoothed time between starts
+LATE_SHARE_WEIGHT = 0.1  # weight of one late request in the share of them that started
+MIN_LATE_SHARE = 0.1  # so that there is always a sample
+MAX_START_GAP_S = 0.5  # a pause in demand says nothing of how fast targets take work
 
 
 @dataclass(order=True)
@@ -26,7 +26,7 @@
 
     rank: tuple[int, int, float, int]
     until: float = field(compare=False)
-    gone: bool = field(default=False, compare=False)
+    is_removed: bool = field(default=False, compare=False)
 
     @property
     def is_late(self) -> bool:
@@ -34,7 +34,7 @@
         return self.rank[1] > 0
 
 
-class WaitingLine:
+class WaitQueue:
     """The waiting requests of one service.
 
     line = WaitingLine()
@@ -59,21 +59,21 @@
 
         In a burst they start after it; in an overload that goes on they only wait in vain.
         """
-        return max(LATE_LEAST, self._late_share)
+        return max(MIN_LATE_SHARE, self._late_share)
 
-    def note_late_end(self, started: bool) -> None:
+    def note_late_outcome(self, started: bool) -> None:
         """Note whether a late request that waited has started."""
-        self._late_share += LATE_MEMORY * (float(started) - self._late_share)
+        self._late_share += LATE_SHARE_WEIGHT * (float(started) - self._late_share)
 
     def expected_wait(self, priority: int, is_late: bool) -> float:
         """Return how long one more request would wait, in seconds."""
         rank = (priority, int(is_late))
-        ahead = sum(1 for each in self._heap if not each.gone and each.rank[:2] < rank)
+        ahead = sum(1 for each in self._heap if not each.is_removed and each.rank[:2] < rank)
         if is_late:
-            ahead += sum(1 for each in self._heap if not each.gone and each.rank[:2] == rank)
+            ahead += sum(1 for each in self._heap if not each.is_removed and each.rank[:2] == rank)
         return ahead * self._start_gap_s
 
-    def join(
+    def add(
         self, priority: int, is_late: bool, until: float, arrived_at: float | None = None
     ) -> Waiter:
         """Add a request; one that `is_late` goes behind those that can be on time.
@@ -87,19 +87,19 @@
         self._waiting += 1
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Take a request out: it starts, is refused, or its caller has left."""
-        if waiter.gone:
+        if waiter.is_removed:
             return
-        waiter.gone = True
+        waiter.is_removed = True
         self._waiting -= 1
-        while self._heap and self._heap[0].gone:
+        while self._heap and self._heap[0].is_removed:
             heapq.heappop(self._heap)
 
     def in_order(self) -> Iterator[Waiter]:
         """Yield those that wait, the next one first."""
         for waiter in sorted(self._heap):
-            if not waiter.gone:
+            if not waiter.is_removed:
                 yield waiter
 
     def note_start(self, now: float) -> None:
@@ -107,5 +107,5 @@
         last, self._started_at = self._started_at, now
         if last is None or not self._waiting:
             return
-        gap_s = min(LONGEST_GAP_S, now - last)
-        self._start_gap_s += RATE_MEMORY * (gap_s - self._start_gap_s)
+        gap_s = min(MAX_START_GAP_S, now - last)
+        self._start_gap_s += START_GAP_WEIGHT * (gap_s - self._start_gap_s)
--- a/src/lacewinggw/entry/asking.py
+++ b/src/lacewinggw/entry/asking.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lacewinggw.decisions.affinity import BLOCK_CHARS, prefix_blocks
-from lacewinggw.decisions.once import LONGEST_DEADLINE_S
+from lacewinggw.decisions.atmostonce import MAX_DEADLINE_S
 from lacewinggw.entry.answers import EVENT_STREAM
 from lacewinggw.errors import MalformedHttp
 from lacewinggw.generated.messages.ttypes import (
@@ -134,7 +134,7 @@
         return default_s
     if not text.isascii() or not text.isdecimal() or int(text) == 0:
         raise MalformedHttp(f"deadline-ms {text!r} is no number of milliseconds above 0")
-    return min(int(text) / MILLISECONDS, LONGEST_DEADLINE_S)
+    return min(int(text) / MILLISECONDS, MAX_DEADLINE_S)
 
 
 def _read_flag(word: str | None) -> bool | None:
--- a/src/lacewinggw/entry/attempts.py
+++ b/src/lacewinggw/entry/attempts.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass
 
-from lacewinggw.decisions.once import HORIZON_S, run_id
+from lacewinggw.decisions.atmostonce import RETENTION_S, run_id
 from lacewinggw.entry.answers import Progress
 from lacewinggw.errors import (
     AgentLost,
@@ -128,7 +128,7 @@
                 reply = await link.call(request, WITHDRAW_TIMEOUT_S)
         except (LacewingError, TimeoutError):
             return Standing.UNKNOWN
-        too_late = loop.time() - self._offered_at > HORIZON_S
+        too_late = loop.time() - self._offered_at > RETENTION_S
         if too_late or not isinstance(reply, Withdrawal):
             return Standing.UNKNOWN
         return Standing(reply.standing)
--- a/src/lacewinggw/entry/keyed.py
+++ b/src/lacewinggw/entry/keyed.py
@@ -18,7 +18,7 @@
     never_starts,
     resolve,
 )
-from lacewinggw.decisions.outcomes import Situation, TryAgain, final_error, next_step
+from lacewinggw.decisions.outcomes import AttemptContext, Retry, final_error, next_step
 from lacewinggw.entry.answers import Progress
 from lacewinggw.entry.attempts import Asked, Attempt, Holder
 from lacewinggw.entry.claims import ClaimStore
@@ -242,8 +242,8 @@
 
     def _spend_retry(self, error: LacewingError) -> None:
         self._check_time()
-        step = next_step(error, Situation(repeatable=False))
-        if not isinstance(step, TryAgain):
+        step = next_step(error, AttemptContext(repeatable=False))
+        if not isinstance(step, Retry):
             raise self._outcome(error)
         if not self._means.targets.retry_allowed():
             spent = RetryBudgetSpent(f"retries are at their limit; the last try: {error.reason}")
@@ -265,7 +265,7 @@
         return self._outcome(error)
 
     def _outcome(self, error: LacewingError) -> LacewingError:
-        return final_error(error, Situation(repeatable=False, delivered=self.progress.pieces))
+        return final_error(error, AttemptContext(repeatable=False, delivered=self.progress.pieces))
 
     def _replay(self, answer: RecordedAnswer) -> list[bytes]:
         """Take a recorded answer for this request's own, checked like any other."""
--- a/src/lacewinggw/entry/limits.py
+++ b/src/lacewinggw/entry/limits.py
@@ -6,7 +6,7 @@
 
 from lacewinggw.background import Background
 from lacewinggw.clients.membership import MemberRole
-from lacewinggw.decisions.addresses import EntryFacts, count_addresses
+from lacewinggw.decisions.addresses import LiveEntry, count_addresses
 from lacewinggw.decisions.limits import AccountDeclaration, AccountShare, DemandReport
 from lacewinggw.entry.named import Members, NamedEntries
 from lacewinggw.errors import LacewingError, Refusal, RequestRefused
@@ -102,7 +102,7 @@
         """Return the account that a token belongs to."""
         return self._by_token.get(token)
 
-    def entries_of(self, account: Account) -> tuple[EntryFacts, ...]:
+    def entries_of(self, account: Account) -> tuple[LiveEntry, ...]:
         """Return the entries that an account is told to use, the same at every entry."""
         declared = self._declared.get(account)
         rate = declared.rate_per_s if declared is not None else 0.0
@@ -116,7 +116,7 @@
         if declared is None:
             return self._refuse(Refusal.ACCOUNT_LIMIT, 0)
         share = self._share(declared, now)
-        if share.offered.quiet_s(now) > self._interval_s:
+        if share.offered.idle_s(now) > self._interval_s:
             self._told.set()
         share.offered.note(now)
         urgent = priority is Priority.URGENT
--- a/src/lacewinggw/entry/named.py
+++ b/src/lacewinggw/entry/named.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from lacewinggw.clients.membership import Member, MemberRole, MemberState
-from lacewinggw.decisions.addresses import EntryFacts, account_entries
+from lacewinggw.decisions.addresses import LiveEntry, account_entries
 from lacewinggw.ids import Account, HostId
 
 Members = Callable[[], Sequence[Member]]
 
 
-def live_entries(members: Iterable[Member]) -> list[EntryFacts]:
+def live_entries(members: Iterable[Member]) -> list[LiveEntry]:
     """Return the entries that callers may be told of."""
     return [
-        EntryFacts(member.host, member.place, member.caller_address)
+        LiveEntry(member.host, member.place, member.caller_address)
         for member in members
         if member.role is MemberRole.ENTRY and member.state is MemberState.LIVE
     ]
@@ -36,8 +36,8 @@
         self._left: dict[HostId, float] = {}  # until when
         self._seen: Sequence[Member] | None = None
         self._seen_left: frozenset[HostId] = frozenset()
-        self._entries: list[EntryFacts] = []
-        self._answers: dict[tuple[Account, int], tuple[EntryFacts, ...]] = {}
+        self._entries: list[LiveEntry] = []
+        self._answers: dict[tuple[Account, int], tuple[LiveEntry, ...]] = {}
 
     def note_leaving(self, host: HostId, leaving: bool, now: float) -> None:
         """Note what an entry says of itself."""
@@ -46,7 +46,7 @@
         else:
             self._left.pop(host, None)
 
-    def of(self, account: Account, count: int, now: float) -> tuple[EntryFacts, ...]:
+    def of(self, account: Account, count: int, now: float) -> tuple[LiveEntry, ...]:
         """Return the `count` entries of an account, the same at every entry."""
         self._refresh(now)
         key = account, count
--- a/src/lacewinggw/entry/requests.py
+++ b/src/lacewinggw/entry/requests.py
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 from lacewinggw.decisions.outcomes import (
+    AttemptContext,
     GiveUp,
-    Situation,
-    StartOver,
-    TryAgain,
+    Restart,
+    Retry,
     final_error,
-    is_proof,
     next_step,
+    proves_not_run,
 )
 from lacewinggw.entry.answers import Progress, WholeAnswer
 from lacewinggw.entry.attempts import Asked, Attempt, Holder
@@ -141,7 +141,7 @@
         """Return when another try is to be made; raise what the caller is to be told."""
         error = await self._prove(error)
         self._last_error = error
-        if is_proof(error):
+        if proves_not_run(error):
             self._refused_by.add(choice.host)
         else:
             self._failed_at.add(choice.host)
@@ -150,9 +150,9 @@
         match next_step(error, situation):
             case GiveUp(told):
                 raise told
-            case TryAgain(reason):
+            case Retry(reason):
                 self._spend_retry(error, reason, situation)
-            case StartOver(reason):
+            case Restart(reason):
                 self._spend_retry(error, reason, situation)
                 self.progress.start_over()
 
@@ -164,16 +164,18 @@
             return DeadlineTooNear("the deadline passed before the request could start")
         return error
 
-    def _situation(self) -> Situation:
-        return Situation(
+    def _situation(self) -> AttemptContext:
+        return AttemptContext(
             repeatable=self._asked.head.repeatable,
             delivered=self.progress.pieces,
             resumable=self._asked.resumable,
-            recallable=self._recallable,
+            discardable=self._recallable,
             may_have_run=self._may_have_run,
         )
 
-    def _spend_retry(self, error: LacewingError, reason: RetryReason, situation: Situation) -> None:
+    def _spend_retry(
+        self, error: LacewingError, reason: RetryReason, situation: AttemptContext
+    ) -> None:
         if asyncio.get_running_loop().time() >= self._asked.deadline:
             raise final_error(DeadlineTooNear("no time is left to try again"), situation)
         if not self._means.targets.retry_allowed():
--- a/src/lacewinggw/entry/reserved.py
+++ b/src/lacewinggw/entry/reserved.py
@@ -3,7 +3,7 @@
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
 
-from lacewinggw.decisions.outcomes import Situation, final_error
+from lacewinggw.decisions.outcomes import AttemptContext, final_error
 from lacewinggw.entry.answers import Progress
 from lacewinggw.entry.attempts import Asked, Attempt, Holder, open_link
 from lacewinggw.entry.requests import Means
@@ -74,4 +74,4 @@
                 error = TicketExpired("the deadline passed before the request could start")
         elif isinstance(error, ConnectionLost):
             error = HolderGone(f"the agent that holds the reservation is lost: {error.reason}")
-        return final_error(error, Situation(repeatable=False, delivered=self.progress.pieces))
+        return final_error(error, AttemptContext(repeatable=False, delivered=self.progress.pieces))
--- a/src/lacewinggw/entry/targets.py
+++ b/src/lacewinggw/entry/targets.py
@@ -10,22 +10,22 @@
 from typing import Protocol
 
 from lacewinggw.clients.membership import Member, MemberRole, MemberState
-from lacewinggw.decisions.affinity import PrefixMemory, preferred_target
-from lacewinggw.decisions.ejection import EjectionRules, Standing, end_failed_call
+from lacewinggw.decisions.affinity import PrefixIndex, preferred_target
+from lacewinggw.decisions.ejection import EjectionRules, EjectionState, note_failed_call
 from lacewinggw.decisions.retries import RetryBudget
 from lacewinggw.decisions.routing import (
     Choice,
     LoadReport,
-    Moment,
     Policy,
-    TargetFacts,
+    RoutingContext,
+    TargetStats,
     cheapest,
     choose_target,
     draw_candidates,
+    median_request_time,
     note_report,
-    usual_time,
 )
-from lacewinggw.decisions.subsets import HostFacts, pick_subset, ring_position
+from lacewinggw.decisions.subsets import TargetHost, pick_subset, ring_position
 from lacewinggw.decisions.waves import coordinates
 from lacewinggw.entry.watches import Watched, Watches
 from lacewinggw.generated.messages import ttypes as messages
@@ -84,7 +84,7 @@
 class ServiceTargets:
     """The targets of one service that may be offered requests."""
 
-    targets: list[TargetFacts] = field(default_factory=list)
+    targets: list[TargetStats] = field(default_factory=list)
     usual_s: float = 1.0
     usual_at: float = -math.inf
 
@@ -132,7 +132,7 @@
         self._budget = RetryBudget(routing.retry_percent / PERCENT)
         self._policy = Policy(routing.policy)
         self._turns = itertools.count(1)
-        self._prefixes = PrefixMemory()
+        self._prefixes = PrefixIndex()
         self._watches = Watches(node, self._me, self._lose, rng)
         self._members: dict[HostId, Member] = {}
         self._entries: list[HostId] = []
@@ -141,7 +141,7 @@
         self._intervals_ms: dict[HostId, int] = {}  # 0 where the agent's own is not too often
         self._heartbeats: dict[HostId, messages.Heartbeat] = {}
         self._heard_at: dict[HostId, float] = {}
-        self._facts: dict[HostId, TargetFacts] = {}
+        self._facts: dict[HostId, TargetStats] = {}
         self._services: dict[ServiceName, ServiceTargets] = {}
 
     @classmethod
@@ -217,7 +217,7 @@
         self._heard_at[host] = now
         self._take_facts(host, heartbeat, now)
 
-    def candidates(self, service: ServiceName | str) -> list[TargetFacts]:
+    def candidates(self, service: ServiceName | str) -> list[TargetStats]:
         """Return the targets of a service that may be offered requests now."""
         now = self._now()
         return [facts for facts in self._targets_of(service).targets if self._usable(facts, now)]
@@ -232,9 +232,9 @@
         now = self._now()
         known = self._targets_of(service)
         urgent = head.priority == Priority.URGENT
-        moment = Moment(now, self._usual_time(known, now), self._slow_start_s, urgent)
+        moment = RoutingContext(now, self._usual_time(known, now), self._slow_start_s, urgent)
 
-        def fits(facts: TargetFacts) -> bool:
+        def fits(facts: TargetStats) -> bool:
             if facts.host in exclude or (head.digest and facts.digest != head.digest):
                 return False
             return self._usable(facts, now)
@@ -250,11 +250,11 @@
 
     def _choose_by_cost(
         self,
-        targets: Sequence[TargetFacts],
+        targets: Sequence[TargetStats],
         blocks: Sequence[str],
-        moment: Moment,
-        fits: Callable[[TargetFacts], bool],
-    ) -> TargetFacts | None:
+        moment: RoutingContext,
+        fits: Callable[[TargetStats], bool],
+    ) -> TargetStats | None:
         """Choose by prefix, else by cost; look at all targets only where a few do not do."""
         if not blocks:
             few = draw_candidates(targets, moment, self._rng)
@@ -270,7 +270,7 @@
 
     def _usual_time(self, known: ServiceTargets, now: float) -> float:
         if now - known.usual_at > USUAL_TIME_S:
-            known.usual_s = usual_time(known.targets)
+            known.usual_s = median_request_time(known.targets)
             known.usual_at = now
         return known.usual_s
 
@@ -280,7 +280,7 @@
         facts = self._facts.get(HostId(host))
         if facts is not None:
             facts.in_flight += 1
-            facts.last_turn = next(self._turns)
+            facts.last_call = next(self._turns)
             facts.health.note_begin(self._now())
 
     def end(self, host: HostId | str, result: CallResult) -> None:
@@ -295,7 +295,7 @@
             self._heard_at[facts.host] = now
         match result.outcome:
             case CallOutcome.ABANDONED | CallOutcome.REFUSED:
-                facts.health.note_nothing()
+                facts.health.note_inconclusive()
             case CallOutcome.ANSWERED | CallOutcome.FAILED:
                 self._note_health(facts, result.outcome is CallOutcome.FAILED, now)
 
@@ -352,7 +352,7 @@
 
     def _pick(self, hosts: Iterable[str]) -> Iterable[HostId]:
         live = [self._members[HostId(host)] for host in hosts if host in self._members]
-        facts = [HostFacts(member.host, member.place, member.address) for member in live]
+        facts = [TargetHost(member.host, member.place, member.address) for member in live]
         picked = pick_subset(self._me, self._place, self._position, facts, self._subset)
         return [each.host for each in picked]
 
@@ -366,7 +366,7 @@
             self._services[ServiceName(service)] = known
         return known
 
-    def _serves(self, facts: TargetFacts, service: str) -> bool:
+    def _serves(self, facts: TargetStats, service: str) -> bool:
         member = self._members.get(facts.host)
         if member is None or member.state is not MemberState.LIVE:
             return False
@@ -375,8 +375,8 @@
         heartbeat = self._heartbeats[facts.host]
         return facts.service == service and heartbeat.state == TargetState.SERVING
 
-    def _usable(self, facts: TargetFacts, now: float) -> bool:
-        return facts.health.may_take(now) and not self._is_silent(facts.host, now)
+    def _usable(self, facts: TargetStats, now: float) -> bool:
+        return facts.health.may_call(now) and not self._is_silent(facts.host, now)
 
     def _is_silent(self, host: HostId, now: float) -> bool:
         heard_at = self._heard_at.get(host, self._wanted.get(host, now))
@@ -404,8 +404,8 @@
         if heartbeat.load is not None:
             note_report(facts, _read_load(heartbeat.load), now)
 
-    def _fresh_facts(self, host: HostId, heartbeat: messages.Heartbeat, now: float) -> TargetFacts:
-        return TargetFacts(
+    def _fresh_facts(self, host: HostId, heartbeat: messages.Heartbeat, now: float) -> TargetStats:
+        return TargetStats(
             host=host,
             place=Place(heartbeat.place),
             address=Address(self._members[host].address),
@@ -417,18 +417,18 @@
             serving_since=now,
         )
 
-    def _note_health(self, facts: TargetFacts, failed: bool, now: float) -> None:
+    def _note_health(self, facts: TargetStats, failed: bool, now: float) -> None:
         if not failed:
             facts.health.note_success()
             return
         targets = self._targets_of(facts.service).targets
-        out = sum(each.health.standing(now) is Standing.OUT for each in targets)
-        if end_failed_call(facts.health, now, out, len(targets), self._rules):
+        out = sum(each.health.state(now) is EjectionState.EJECTED for each in targets)
+        if note_failed_call(facts.health, now, out, len(targets), self._rules):
             self._metrics.count("targets_ejected")
             log.warning(
                 "target_ejected",
                 target=facts.host,
-                failures=facts.health.failures_in_row,
+                failures=facts.health.consecutive_failures,
             )
 
     def _lose(self, host: HostId) -> None:
@@ -458,4 +458,4 @@
     )
 
 
-__all__ = ["CallOutcome", "CallResult", "Choice", "TargetDirectory", "TargetFacts"]
+__all__ = ["CallOutcome", "CallResult", "Choice", "TargetDirectory", "TargetStats"]
--- a/src/lacewinggw/frontend/admission.py
+++ b/src/lacewinggw/frontend/admission.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from lacewinggw.decisions.deadlines import LONGEST_S
+from lacewinggw.decisions.deadlines import MAX_TIME_LEFT_S
 from lacewinggw.decisions.knowledge import Knowledge
 from lacewinggw.decisions.routes import ClientAccount, Route, RouteTable, pick_service
 from lacewinggw.errors import BadToken, NotReady, UnknownPath
@@ -62,7 +62,7 @@
     priority = route.priority
     if account is not None and account.priority is not None:
         priority = account.priority
-    time_left_s = facts.time_left_s if facts.time_left_s is not None else LONGEST_S
+    time_left_s = facts.time_left_s if facts.time_left_s is not None else MAX_TIME_LEFT_S
     return Admitted(
         call=call,
         facts=facts,
--- a/src/lacewinggw/frontend/agents.py
+++ b/src/lacewinggw/frontend/agents.py
@@ -10,9 +10,9 @@
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.nearby import choose_watched
+from lacewinggw.decisions.locality import choose_agents
 from lacewinggw.decisions.pollers import rank_of
-from lacewinggw.decisions.targetlist import TargetEntry, start_of
+from lacewinggw.decisions.targetlist import TargetEntry, make_target_id
 from lacewinggw.entry.watches import Watched, Watches
 from lacewinggw.fleet.agentupdates import FleetContent, compose_update, content_of
 from lacewinggw.frontend.departures import Departures, LeavingSource
@@ -95,7 +95,7 @@
         entries = [entry for entry in self._knowledge.targets.values() if entry.service in engines]
         agents = {self._agent_of(entry): entry.place for entry in entries}
         places = {agent.host: place for agent, place in agents.items()}
-        wanted = choose_watched(self._me, self._place, places)
+        wanted = choose_agents(self._me, self._place, places)
         speakers = self._speakers()
         self._watches.set_targets(
             {a for a in agents if a.host in wanted or self._speaks_to(a.host, speakers)}
@@ -107,7 +107,7 @@
         name = TargetName(update.name)
         self._knowledge.note_born(name, update.born_ms)
         self._departures.note_known(LeavingSource.AGENT)
-        target = start_of(name, update.born_ms)
+        target = make_target_id(name, update.born_ms)
         now = asyncio.get_running_loop().time()
         sent_s = update.sent_ms / MS_PER_S
         self._pool.note_report(target, update.running + update.queued, now, update.loading, sent_s)
--- a/src/lacewinggw/frontend/agentslots.py
+++ b/src/lacewinggw/frontend/agentslots.py
@@ -1,6 +1,6 @@
 """Slots asked of agents over the links that this entry has to them."""
 
-from lacewinggw.decisions.slots import SlotWish
+from lacewinggw.decisions.slots import SlotRequest
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.errors import LacewingError
 from lacewinggw.frontend.slots import SlotAnswer
@@ -30,7 +30,7 @@
         self._node = node
         self._port = port
 
-    def ask(self, load: TargetLoad, wish: SlotWish) -> "AgentSlotCall | None":
+    def ask(self, load: TargetLoad, wish: SlotRequest) -> "AgentSlotCall | None":
         """Ask for a slot of a target."""
         host = load.entry.address.rpartition(":")[0]
         link = self._node.open_link(Address(f"{host}:{self._port}"))
@@ -41,7 +41,7 @@
             rank=wish.rank,
             late=wish.is_late,
             wait_ms=max(0, round(wish.wait_s * MS_PER_S)),
-            reading_us=round(wish.reading_s * US_PER_S),
+            reading_us=round(wish.prefill_s * US_PER_S),
             suspect=wish.suspect or "",
             waited_us=round(wish.waited_s * US_PER_S),
         )
--- a/src/lacewinggw/frontend/crashes.py
+++ b/src/lacewinggw/frontend/crashes.py
@@ -12,7 +12,7 @@
 
 from lacewinggw.background import Background
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.crashes import Crash, CrashLedger, Standing
+from lacewinggw.decisions.crashes import Crash, CrashStatus, CrashTracker
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.errors import RequestQuarantined
 from lacewinggw.fleet.feed import CrashingRequest, Lifted
@@ -64,7 +64,7 @@
         self._tell = tell
         self._passes_on = passes_on
         self._clock = clock
-        self._ledger = CrashLedger()
+        self._ledger = CrashTracker()
         self._rows = CrashRows(rows, self._ledger, rng)
         self._untold = CrashReport()
         self._probes: dict[TargetId, asyncio.Task[bool]] = {}
@@ -93,20 +93,20 @@
         if self._ledger.is_empty:
             return
         now = self._clock()
-        if self._ledger.standing(admitted.digest, now) is not Standing.QUARANTINED:
+        if self._ledger.status(admitted.digest, now) is not CrashStatus.QUARANTINED:
             return
-        left_ms = round(self._ledger.time_left(admitted.digest, now) * MS_PER_S)
+        left_ms = round(self._ledger.quarantine_left(admitted.digest, now) * MS_PER_S)
         raise RequestQuarantined(
             f"targets of {admitted.service} end under this request", retry_after_ms=left_ms
         )
 
     def is_quarantined(self, admitted: Admitted) -> bool:
         """Return whether a request is kept away from targets."""
-        return self._standing(admitted) is Standing.QUARANTINED
+        return self._standing(admitted) is CrashStatus.QUARANTINED
 
     def is_suspect(self, admitted: Admitted) -> bool:
         """Return whether a request is to run beside no other suspect."""
-        return self._standing(admitted) is Standing.SUSPECT
+        return self._standing(admitted) is CrashStatus.SUSPECT
 
     async def note_lost(self, admitted: Admitted, entry: TargetEntry, began_at: float) -> None:
         """Take that a request sent at `began_at` was broken off; return once it is known why.
@@ -131,10 +131,10 @@
             self._untold.served.append(Served(admitted.digest, now))
             self._changed.set()
 
-    def _standing(self, admitted: Admitted) -> Standing:
+    def _standing(self, admitted: Admitted) -> CrashStatus:
         if self._ledger.is_empty:
-            return Standing.CLEAR
-        return self._ledger.standing(admitted.digest, self._clock())
+            return CrashStatus.CLEAR
+        return self._ledger.status(admitted.digest, self._clock())
 
     async def _probe(self, entry: TargetEntry) -> bool:
         """Return whether a start of a target has ended."""
@@ -185,7 +185,7 @@
                 self._note_heard(take_report(self._ledger, listed, now), "store")
             case Lifted(request):
                 self._rows.note_removed(request)
-                if self._ledger.lift(request):
+                if self._ledger.lift_quarantine(request):
                     log.info("quarantine_lifted", digest=request, source="store")
 
     def write_again(self, listed: Set[str]) -> None:
@@ -216,20 +216,20 @@
 
     async def _wait_for_update(self) -> None:
         """Wait until there is something to tell, or to judge."""
-        wait_s = max(0.0, self._ledger.next_look - self._clock())
+        wait_s = max(0.0, self._ledger.next_check_at - self._clock())
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_s if math.isfinite(wait_s) else None):
                 await self._changed.wait()
         self._changed.clear()
 
     def _judge(self) -> None:
-        for request in self._ledger.judge(self._clock()):
+        for request in self._ledger.quarantine_culprits(self._clock()):
             self._log_quarantined(request, "own")
             self._untold.quarantined.append(request)
 
     def _end_expired(self) -> None:
-        for request in self._ledger.expired(self._clock()):
-            self._ledger.lift(request)
+        for request in self._ledger.expired_quarantines(self._clock()):
+            self._ledger.lift_quarantine(request)
             log.info("quarantine_lifted", digest=request, source="time")
             if self._passes_on():
                 self._rows.remove(request)
--- a/src/lacewinggw/frontend/crashrows.py
+++ b/src/lacewinggw/frontend/crashrows.py
@@ -5,7 +5,7 @@
 from collections.abc import Set
 
 from lacewinggw.background import Background
-from lacewinggw.decisions.crashes import SUSPECT_CRASHES, CrashLedger
+from lacewinggw.decisions.crashes import SUSPECT_CRASHES, CrashTracker
 from lacewinggw.errors import PlatformError
 from lacewinggw.fleet.feed import CrashingRequest
 from lacewinggw.fleet.ownrows import OwnRows, crashing_key, crashing_row
@@ -27,7 +27,7 @@
         rows.update()  # after the ledger has changed
     """
 
-    def __init__(self, rows: OwnRows, ledger: CrashLedger, rng: random.Random) -> None:
+    def __init__(self, rows: OwnRows, ledger: CrashTracker, rng: random.Random) -> None:
         self._rows = rows
         self._ledger = ledger
         self._rng = rng
@@ -84,7 +84,7 @@
         is_quarantined = request in self._ledger.quarantined
         if is_quarantined and before is not None and before.is_quarantined:
             return before  # further crashes, of requests that were under way, say nothing new
-        targets = tuple(self._ledger.targets_in_turn(request))
+        targets = tuple(self._ledger.sequential_targets(request))
         if not is_quarantined and len(targets) < SUSPECT_CRASHES:
             return None
         return CrashingRequest(request, service, targets, is_quarantined)
--- a/src/lacewinggw/frontend/crashupdates.py
+++ b/src/lacewinggw/frontend/crashupdates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from lacewinggw.decisions.crashes import Crash, CrashLedger
+from lacewinggw.decisions.crashes import Crash, CrashTracker
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import RequestDigest, TargetId
 from lacewinggw.wire.soundness import require_sound
@@ -31,7 +31,7 @@
         return bool(self.crashes or self.served or self.quarantined)
 
     @classmethod
-    def from_ledger(cls, ledger: CrashLedger) -> "CrashReport":
+    def from_ledger(cls, ledger: CrashTracker) -> "CrashReport":
         """Return all that a ledger knows."""
         served = [Served(request, at) for request, at in ledger.served()]
         return cls(list(ledger.crashes()), served, list(ledger.quarantined))
@@ -67,7 +67,7 @@
         self.quarantined += other.quarantined
 
 
-def take_report(ledger: CrashLedger, report: CrashReport, now: float) -> CrashReport:
+def take_report(ledger: CrashTracker, report: CrashReport, now: float) -> CrashReport:
     """Take a report into a ledger; return what of it was new."""
     served = [each for each in report.served if ledger.note_served(each.request, each.at)]
     crashes = [crash for crash in report.crashes if ledger.note_crash(crash, now)]
--- a/src/lacewinggw/frontend/neighbours.py
+++ b/src/lacewinggw/frontend/neighbours.py
@@ -11,7 +11,7 @@
 from lacewinggw.background import Background
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.nearby import ReadyEntry
+from lacewinggw.decisions.locality import ReadyEntry
 from lacewinggw.decisions.readers import READERS_PER_PLACE, KnownEntry, reading_order
 from lacewinggw.entry.watches import Watched, Watches
 from lacewinggw.generated.messages import ttypes as messages
--- a/src/lacewinggw/frontend/offers.py
+++ b/src/lacewinggw/frontend/offers.py
@@ -152,7 +152,7 @@
             return NotRun("the target takes nothing any more", arrived=False, is_closed=True)
         except NotConnectedError as error:
             ended_at = asyncio.get_running_loop().time()
-            load.note_unconnected(ended_at - now, ended_at)
+            load.note_connect_failure(ended_at - now, ended_at)
             return NotRun(f"cannot connect: {error}", arrived=False)
         except TimeoutError:
             return Lost("no answer in time", silent=True)
@@ -163,13 +163,13 @@
     def _note_connected(self, load: TargetLoad, took_s: float, now: float) -> None:
         """Look once more whether the request may be sent, now that it could be."""
         load.note_connect(took_s, now)
-        if not self._pool.is_open(load, now):
+        if not self._pool.may_send(load, now):
             raise _TargetClosed
 
     async def _sort(
         self, job: Admitted, load: TargetLoad, response: StreamedResponse, asked_at: float
     ) -> Answer | NotRun | Lost:
-        load.note_heard(asyncio.get_running_loop().time())
+        load.note_data(asyncio.get_running_loop().time())
         facts = self._codec.read_answer(response.status, response.headers)
         if facts.call_id not in (None, job.facts.call_id):
             await response.aclose()
--- a/src/lacewinggw/frontend/placing.py
+++ b/src/lacewinggw/frontend/placing.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.dispatch import Wish
+from lacewinggw.decisions.dispatch import TargetRequirements
 from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.punctuality import CallerTimes, Patience, patience, reading_time
 from lacewinggw.decisions.retries import RetryBudget
 from lacewinggw.decisions.routes import Repeat, Service
-from lacewinggw.decisions.targetload import Claim, TargetLoad
+from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
+from lacewinggw.decisions.waitbudget import CallerTimeouts, WaitBudget, prefill_time, wait_budget
 from lacewinggw.errors import DeadlineTooNear
 from lacewinggw.frontend.admission import Admitted
 from lacewinggw.frontend.jobs import Job
@@ -64,9 +64,9 @@
         self._count_entries = count_entries
         self._is_suspect = is_suspect
         self._budgets: dict[ServiceName, RetryBudget] = {}
-        self._times = CallerTimes()
+        self._times = CallerTimeouts()
 
-    async def claim(self, job: Job) -> Claim:
+    async def claim(self, job: Job) -> InFlightRequest:
         """Return room at a target that takes the request now, waiting for one in the queue."""
         admitted = job.admitted
         wish = self._wish(job)
@@ -101,25 +101,25 @@
             return job.may_repeat
         return job.may_repeat and self._budget(job.admitted.service).take(_now())
 
-    def _patience(self, admitted: Admitted, left_s: float) -> Patience:
+    def _patience(self, admitted: Admitted, left_s: float) -> WaitBudget:
         facts, route = admitted.facts, admitted.route
         held_s = _now() - admitted.call.arrived_at
         elapsed_s = held_s + self._times.elapsed(route.name, facts.time_left_s)
         service = self._service(admitted.service)
         engine = service.engine if service else None
         late_share = self._queue.late_share(admitted.service)
-        return patience(route, engine, facts.prompt_tokens, elapsed_s, left_s, late_share)
+        return wait_budget(route, engine, facts.prompt_tokens, elapsed_s, left_s, late_share)
 
-    def _wish(self, job: Job) -> Wish:
+    def _wish(self, job: Job) -> TargetRequirements:
         admitted = job.admitted
         model = admitted.facts.model
         service = self._service(admitted.service)
         if service is None or service.engine is None or model is None:
-            return Wish(admitted.service, avoid=frozenset(job.avoid))
+            return TargetRequirements(admitted.service, excluded=frozenset(job.avoid))
         least = self._least_version(job)
-        reading_s = reading_time(service.engine, admitted.facts.prompt_tokens)
+        reading_s = prefill_time(service.engine, admitted.facts.prompt_tokens)
         suspect = admitted.digest if self._is_suspect(admitted) else None
-        return Wish(
+        return TargetRequirements(
             admitted.service, model, least, job.version, frozenset(job.avoid), reading_s, suspect
         )
 
--- a/src/lacewinggw/frontend/process.py
+++ b/src/lacewinggw/frontend/process.py
@@ -11,7 +11,7 @@
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.ejection import EjectionRules
 from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.nearby import ReadyEntry, choose_entries
+from lacewinggw.decisions.locality import ReadyEntry, choose_entries
 from lacewinggw.decisions.readers import KnownEntry, Self
 from lacewinggw.decisions.routes import CallerLimits
 from lacewinggw.decisions.storeposition import StorePosition
--- a/src/lacewinggw/frontend/queue.py
+++ b/src/lacewinggw/frontend/queue.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 
 from lacewinggw.background import Background
-from lacewinggw.decisions.dispatch import TargetPool, Wish
-from lacewinggw.decisions.punctuality import RETURN_LEAST_S
-from lacewinggw.decisions.slots import SlotWish
-from lacewinggw.decisions.targetload import Claim, TargetLoad
-from lacewinggw.decisions.waiting import Waiter, WaitingLine
+from lacewinggw.decisions.dispatch import TargetPool, TargetRequirements
+from lacewinggw.decisions.slots import SlotRequest
+from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
+from lacewinggw.decisions.waitbudget import MIN_RETRY_AFTER_S
+from lacewinggw.decisions.waitqueue import Waiter, WaitQueue
 from lacewinggw.errors import NoTarget, Overloaded, RequestRefused
 from lacewinggw.frontend.slots import AskSlot, Lease, SlotSearch
 from lacewinggw.ids import ServiceName
@@ -27,7 +27,7 @@
 # 1.5 s, weights that are late take longer. A caller waits for a third of its time at most.
 ABSENT_RETURN_S = (1.2, 2.0)
 # A burst lasts some seconds, and callers wait for a third of their time.
-RETURN_S = (RETURN_LEAST_S, 2.0)
+RETURN_S = (MIN_RETRY_AFTER_S, 2.0)
 OPENING_SPREAD_S = 0.5  # of callers that come back as a target takes requests again
 # A late request that starts within it found a free slot, which says nothing of those that wait.
 AT_ONCE_S = 0.03
@@ -40,8 +40,8 @@
 class _Waiting:
     """A request in a line, and what it waits for."""
 
-    wish: Wish
-    found: "asyncio.Future[Claim]"
+    wish: TargetRequirements
+    found: "asyncio.Future[InFlightRequest]"
 
 
 class RequestQueue:
@@ -59,7 +59,7 @@
         self._pool = pool
         self._ask_slot = ask_slot
         self._leases: dict[int, Lease] = {}
-        self._lines: dict[ServiceName, WaitingLine] = defaultdict(WaitingLine)
+        self._lines: dict[ServiceName, WaitQueue] = defaultdict(WaitQueue)
         self._waiting: dict[int, _Waiting] = {}
         self._searches: set[SlotSearch] = set()
         self._wait = metrics.latency("queue_wait")
@@ -74,7 +74,9 @@
         """Stop."""
         await self._loop.close()
 
-    async def claim(self, wish: Wish, priority: int, is_late: bool, until: float) -> Claim:
+    async def claim(
+        self, wish: TargetRequirements, priority: int, is_late: bool, until: float
+    ) -> InFlightRequest:
         """Return room at a target, waiting for one up to `until` by the loop's clock.
 
         Raise `NoTarget` when none may run the request, and `Overloaded` at once when the wait
@@ -82,10 +84,10 @@
         """
         now = _now()
         line = self._lines[wish.service]
-        fitting = self._pool.fitting(wish)
+        fitting = self._pool.eligible(wish)
         if not fitting:
             raise self._refusal(wish)
-        if self._pool.choose_asked(fitting, now, frozenset()) is not None:
+        if self._pool.choose_for_slot(fitting, now, frozenset()) is not None:
             return await self._claim_slot(wish, priority, is_late, until)
         if not len(line):
             load = self._pool.choose(fitting, now, is_late)
@@ -95,9 +97,9 @@
         expected_s = line.expected_wait(priority, is_late)
         if max(allowed_at, now + expected_s) > until:
             raise self._refusal(wish)
-        return await self._wait_for(line, wish, line.join(priority, is_late, until))
+        return await self._wait_for(line, wish, line.add(priority, is_late, until))
 
-    def end(self, claim: Claim) -> None:
+    def end(self, claim: InFlightRequest) -> None:
         """Give back the room of a request that is over, to whoever waits for it."""
         self._pool.end(claim)
         lease = self._leases.pop(id(claim), None)
@@ -105,21 +107,23 @@
             lease.end()
         self.advance(claim.load.entry.service)
 
-    async def _claim_slot(self, wish: Wish, priority: int, is_late: bool, until: float) -> Claim:
+    async def _claim_slot(
+        self, wish: TargetRequirements, priority: int, is_late: bool, until: float
+    ) -> InFlightRequest:
         """Return a slot that an agent gives."""
         began = _now()
         rank = max(0, priority - FIRST_PRIORITY)
-        slot_wish = SlotWish(rank, is_late, until - began, wish.reading_s, wish.suspect)
+        slot_wish = SlotRequest(rank, is_late, until - began, wish.prefill_s, wish.suspect)
         search = SlotSearch(
             self._ask_slot,
-            lambda asked: self._pool.choose_asked(self._pool.fitting(wish), _now(), asked),
+            lambda asked: self._pool.choose_for_slot(self._pool.eligible(wish), _now(), asked),
             slot_wish,
             arrived_at=began,
         )
         lease = await self._find_allowed(search, until)
         line = self._lines[wish.service]
         if is_late and _now() - began > AT_ONCE_S:
-            line.note_late_end(started=lease is not None)
+            line.note_late_outcome(started=lease is not None)
         if lease is None:
             raise self._refusal(wish)
         now = _now()
@@ -148,11 +152,11 @@
         """Have no request wait any longer for targets to which none may be sent."""
         now = _now()
         for search in self._searches:
-            search.leave_where(lambda load: not self._pool.is_open(load, now))
+            search.leave_where(lambda load: not self._pool.may_send(load, now))
         for line in self._lines.values():
             self._refuse_hopeless(line, now)
 
-    def _refuse_hopeless(self, line: WaitingLine, now: float) -> None:
+    def _refuse_hopeless(self, line: WaitQueue, now: float) -> None:
         """Refuse at once what waits for targets of which none takes it in its time."""
         for waiter in list(line.in_order()):
             waiting = self._waiting.get(id(waiter))
@@ -160,16 +164,16 @@
                 continue
             if self._opens_at(waiting.wish, now) > waiter.until:
                 waiting.found.set_exception(self._refusal(waiting.wish))
-                line.leave(waiter)
+                line.remove(waiter)
 
-    def _opens_at(self, wish: Wish, now: float) -> float:
+    def _opens_at(self, wish: TargetRequirements, now: float) -> float:
         """Return when the first target may be sent a request, as far as is known."""
-        fitting = self._pool.fitting(wish)
+        fitting = self._pool.eligible(wish)
         return min((load.allowed_at(now) for load in fitting), default=math.inf)
 
-    def _refusal(self, wish: Wish) -> RequestRefused:
+    def _refusal(self, wish: TargetRequirements) -> RequestRefused:
         """Return why a request is refused and when to return, spread out: not as a second burst."""
-        if not self._pool.fitting(wish):
+        if not self._pool.eligible(wish):
             reason = f"no target of {wish.service} may run the request"
             return NoTarget(reason, retry_after_ms=_draw_ms(ABSENT_RETURN_S))
         now = _now()
@@ -185,29 +189,31 @@
         """Return the share of late requests for a service that started lately."""
         return self._lines[service].late_share
 
-    async def _wait_for(self, line: WaitingLine, wish: Wish, waiter: Waiter) -> Claim:
+    async def _wait_for(
+        self, line: WaitQueue, wish: TargetRequirements, waiter: Waiter
+    ) -> InFlightRequest:
         joined_at = _now()
         found = asyncio.get_running_loop().create_future()
         self._waiting[id(waiter)] = _Waiting(wish, found)
         try:
             async with asyncio.timeout_at(waiter.until):
-                claim: Claim = await found
+                claim: InFlightRequest = await found
         except TimeoutError:
             if not found.cancelled() and found.done():
                 self._pool.end(found.result())
             if waiter.is_late:
-                line.note_late_end(started=False)
+                line.note_late_outcome(started=False)
             raise self._refusal(wish) from None
         except asyncio.CancelledError:
             if found.done() and not found.cancelled():
                 self._pool.end(found.result())
             raise
         finally:
-            line.leave(waiter)
+            line.remove(waiter)
             self._waiting.pop(id(waiter), None)
         self._wait.record(_now() - joined_at)
         if waiter.is_late:
-            line.note_late_end(started=True)
+            line.note_late_outcome(started=True)
         return claim
 
     def advance(self, service: ServiceName) -> None:
@@ -220,16 +226,18 @@
             waiting = self._waiting.get(id(waiter))
             if waiting is None or waiting.found.done():
                 continue
-            fitting = self._pool.fitting(waiting.wish)
+            fitting = self._pool.eligible(waiting.wish)
             load = self._pool.choose(fitting, now, waiter.is_late)
             if load is None:
                 return
             waiting.found.set_result(self._begin(line, load, waiting.wish, now))
-            line.leave(waiter)
+            line.remove(waiter)
 
-    def _begin(self, line: WaitingLine, load: TargetLoad, wish: Wish, now: float) -> Claim:
+    def _begin(
+        self, line: WaitQueue, load: TargetLoad, wish: TargetRequirements, now: float
+    ) -> InFlightRequest:
         line.note_start(now)
-        return self._pool.begin(load, now, wish.reading_s)
+        return self._pool.begin(load, now, wish.prefill_s)
 
     async def _run(self) -> None:
         look_at = 0.0
@@ -243,7 +251,7 @@
 
     def _log_reach(self) -> None:
         now = _now()
-        for load in self._pool.reach_changes(now):
+        for load in self._pool.reachability_changes(now):
             log.info(
                 "target_reachable" if load.was_reachable else "target_unreachable",
                 target=load.entry.target,
--- a/src/lacewinggw/frontend/relay.py
+++ b/src/lacewinggw/frontend/relay.py
@@ -12,7 +12,7 @@
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.targetload import Claim, TargetLoad
+from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
 from lacewinggw.errors import (
     AnswerIncomplete,
     DeadlinePassed,
@@ -198,7 +198,7 @@
             if is_quarantined or not self._parts.placing.may_repeat(job):
                 return await self._give_up(job, caller)
 
-    async def _claim(self, job: Job) -> Claim:
+    async def _claim(self, job: Job) -> InFlightRequest:
         """Return room at a target for a request that is not kept away from targets."""
         parts = self._parts
         parts.crashes.require_allowed(job.admitted)
@@ -224,7 +224,7 @@
             raise RetryBudgetSpent("too many requests are tried again", retry_after_ms=500)
         raise TargetRefused("no target took the request", retry_after_ms=RETRY_AFTER_MS)
 
-    async def _offer(self, job: Job, claim: Claim, caller: Caller) -> bool:
+    async def _offer(self, job: Job, claim: InFlightRequest, caller: Caller) -> bool:
         """Offer the request to a target; return whether the caller has its answer."""
         load = claim.load
         job.offers += 1
@@ -234,7 +234,7 @@
         sending, limits = placing.sending(job), placing.limits(job, load)
         job.runs += 1
         outcome = await self._parts.offers.send(job.admitted, load, sending, limits)
-        self._parts.pool.note_read(claim)
+        self._parts.pool.note_prompt_read(claim)
         match outcome:
             case NotRun() as proof:
                 job.runs -= 1
@@ -242,13 +242,13 @@
                 return False
             case Lost(reason, silent):
                 if silent:
-                    self._parts.pool.note_silent(load, _now())
+                    self._parts.pool.note_timeout(load, _now())
                 self._note_failed(job, load, reason)
                 if not silent:
                     await self._note_lost(job, load)
                 return False
             case Answer() as answer:
-                self._parts.pool.note_taken(load, job.offered_at)
+                self._parts.pool.note_accepted(load, job.offered_at)
                 try:
                     is_served = await self._pass_on(job, load, answer, caller)
                 except AnswerIncomplete as error:
@@ -278,7 +278,7 @@
         elif proof.is_closed:
             self._parts.metrics.retry(RetryReason.WITHDRAWN)
         else:
-            self._parts.pool.failed(load, now)
+            self._parts.pool.note_failure(load, now)
             self._parts.metrics.retry(RetryReason.TARGET_UNREACHABLE)
         self._log_offer(job, load, "not-run", proof.reason)
 
@@ -291,7 +291,7 @@
         now = _now()
         job.arrived = True
         if load.loading_until <= now:
-            self._parts.pool.failed(load, now)
+            self._parts.pool.note_failure(load, now)
         self._parts.metrics.retry(RetryReason.TARGET_FAILED)
         self._log_offer(job, load, "failed", reason)
 
@@ -314,7 +314,7 @@
     async def _pass_on(self, job: Job, load: TargetLoad, answer: Answer, caller: Caller) -> bool:
         if job.admitted.route.streams and answer.status == OK:
             await self._pass_stream(job, load, answer, caller)
-            self._parts.pool.succeeded(load)
+            self._parts.pool.note_success(load)
             return True
         body = await read_whole(answer)
         if not answer.is_success:
@@ -323,7 +323,7 @@
             return False
         if not answer.facts.sealed:
             raise AnswerIncomplete("the answer lacks the target's mark")
-        self._parts.pool.succeeded(load)
+        self._parts.pool.note_success(load)
         await caller.answer(answer.status, _headers_to_caller(answer.headers), body)
         return True
 
@@ -332,7 +332,7 @@
     ) -> None:
         """Pass events on as they come; those that the caller has already are left out."""
         async for events in read_events(answer):
-            load.note_heard(_now())
+            load.note_data(_now())
             data = b"".join(event.data for event in events if _is_next(job, event.number))
             if not data:
                 continue
--- a/src/lacewinggw/frontend/slots.py
+++ b/src/lacewinggw/frontend/slots.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Protocol
 
-from lacewinggw.decisions.slots import SlotWish
+from lacewinggw.decisions.slots import SlotRequest
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.ids import TargetId
 
@@ -44,7 +44,7 @@
         """Give the slot back, or leave the line for it."""
 
 
-AskSlot = Callable[[TargetLoad, SlotWish], SlotCall | None]
+AskSlot = Callable[[TargetLoad, SlotRequest], SlotCall | None]
 PickTarget = Callable[[Set[TargetId]], TargetLoad | None]
 
 
@@ -82,7 +82,7 @@
 
     ask: AskSlot
     pick: PickTarget
-    wish: SlotWish
+    wish: SlotRequest
     arrived_at: float
     _overtaken: int = 0
     _asked: set[TargetId] = field(default_factory=set)
@@ -142,7 +142,7 @@
                             return None
         except TimeoutError:
             if newest is not None and not newest.has_answered:
-                newest.load.note_unanswered(_now())
+                newest.load.note_agent_timeout(_now())
             return None
 
     async def _listen(self, asked: _Asked) -> None:
--- a/src/lacewinggw/frontend/targetrates.py
+++ b/src/lacewinggw/frontend/targetrates.py
@@ -7,7 +7,7 @@
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.readers import KnownEntry, Self
 from lacewinggw.decisions.targetload import TargetLoad
-from lacewinggw.decisions.targetrate import Allowance, Source, share_of
+from lacewinggw.decisions.targetrate import Allowance, LimitSource, entry_share
 from lacewinggw.frontend.calls import AnswerFacts
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import TargetId
@@ -74,7 +74,7 @@
             per_s = told.per_s if told.limited else None
             seen_at = self._clock() - told.age_ms / MS_PER_S
             before = load.rate.per_s
-            if load.rate.note_update(per_s, seen_at, Source.NEAR if near else Source.FAR):
+            if load.rate.note_update(per_s, seen_at, LimitSource.NEAR if near else LimitSource.FAR):
                 self._note_change(load, before)
 
     def compose_updates(self) -> list[messages.TargetLimit]:
@@ -86,7 +86,7 @@
                 load.rate.per_s is not None,
                 load.rate.per_s or 0.0,
                 round((now - load.rate.seen_at) * MS_PER_S),
-                load.rate.source is not Source.ANSWER,
+                load.rate.source is not LimitSource.ANSWER,
             )
             for load in self._pool.loads.values()
             if self._is_told(load, now)
@@ -101,11 +101,11 @@
         if load.rate.per_s is None and now - load.rate.seen_at > END_TOLD_S:
             return False
         match load.rate.source:
-            case Source.ANSWER:
+            case LimitSource.ANSWER:
                 return True
-            case Source.NEAR:
+            case LimitSource.NEAR:
                 return self._passes_on()
-            case Source.FAR:
+            case LimitSource.FAR:
                 return False
 
     def _limited(self) -> list[TargetLoad]:
@@ -135,7 +135,7 @@
             load.allowance = None
             return
         now = asyncio.get_running_loop().time()
-        share = share_of(self._me.host, entry.target, entry.place, per_s, self._listed() or ())
+        share = entry_share(self._me.host, entry.target, entry.place, per_s, self._listed() or ())
         if load.allowance is None:
             load.allowance = Allowance(share, now)
         else:
--- a/src/lacewinggw/lab/fleetmodel/agent.py
+++ b/src/lacewinggw/lab/fleetmodel/agent.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Mapping
 
-from lacewinggw.decisions.slots import SlotLedger, SlotWish
+from lacewinggw.decisions.slots import SlotAllocator, SlotRequest
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.frontend.slots import SlotAnswer
 from lacewinggw.ids import LeaseId, TargetId
@@ -21,7 +21,7 @@
 
     def __init__(self, engine: ModelEngine, slots: int) -> None:
         self._engine = engine
-        self._ledger = SlotLedger(slots)
+        self._ledger = SlotAllocator(slots)
         self._calls: dict[LeaseId, ModelSlotCall] = {}
         self._numbers = itertools.count()
         self._look: asyncio.TimerHandle | None = None
@@ -43,14 +43,14 @@
             self._give()
             await asyncio.sleep(REPORT_S)
 
-    def take(self, call: "ModelSlotCall", wish: SlotWish) -> LeaseId:
+    def take(self, call: "ModelSlotCall", wish: SlotRequest) -> LeaseId:
         """Take the question for a slot."""
         lease = LeaseId(next(self._numbers))
         if not self._ledger.is_open:
             call.tell(SlotAnswer.DECLINED)
             return lease
         self._calls[lease] = call
-        self._ledger.ask(lease, wish, asyncio.get_running_loop().time())
+        self._ledger.enqueue(lease, wish, asyncio.get_running_loop().time())
         self._give()
         if lease in self._calls and not call.is_granted:
             call.tell(SlotAnswer.QUEUED)
@@ -59,16 +59,16 @@
     def end(self, lease: LeaseId) -> None:
         """Take a slot back."""
         self._calls.pop(lease, None)
-        self._ledger.end(lease)
+        self._ledger.release(lease)
         self._give()
 
     def _give(self) -> None:
         now = asyncio.get_running_loop().time()
-        for lease in self._ledger.give(now):
+        for lease in self._ledger.grant(now):
             self._calls[lease].is_granted = True
             self._calls[lease].tell(SlotAnswer.GRANTED)
         self._dismiss(self._ledger.drop_overtaken(now), SlotAnswer.OVERTAKEN)
-        look_at = self._ledger.next_look(now)
+        look_at = self._ledger.next_check_at(now)
         if self._look is not None:
             self._look.cancel()
             self._look = None
@@ -83,7 +83,7 @@
 class ModelSlotCall:
     """One slot that a modelled agent was asked for."""
 
-    def __init__(self, agent: ModelAgent, wish: SlotWish, hop_s: float) -> None:
+    def __init__(self, agent: ModelAgent, wish: SlotRequest, hop_s: float) -> None:
         self.is_granted = False
         self._agent = agent
         self._hop_s = hop_s
@@ -104,7 +104,7 @@
         """Carry an answer to the entry."""
         self._later(self._answers.put_nowait, answer)
 
-    def _arrive(self, wish: SlotWish) -> None:
+    def _arrive(self, wish: SlotRequest) -> None:
         self._lease = self._agent.take(self, wish)
 
     def _end(self) -> None:
@@ -125,7 +125,7 @@
         self._agents = agents
         self._place = place
 
-    def ask(self, load: TargetLoad, wish: SlotWish) -> ModelSlotCall:
+    def ask(self, load: TargetLoad, wish: SlotRequest) -> ModelSlotCall:
         """Ask the agent beside a target for a slot."""
         hop_s = NEAR_HOP_S if load.entry.place == self._place else self._profile.hop_s
         return ModelSlotCall(self._agents[load.entry.target], wish, hop_s)
--- a/src/lacewinggw/lab/fleetmodel/fleet.py
+++ b/src/lacewinggw/lab/fleetmodel/fleet.py
@@ -9,7 +9,7 @@
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.ejection import EjectionRules
 from lacewinggw.decisions.knowledge import Knowledge, KnowledgeRules
-from lacewinggw.decisions.nearby import choose_watched
+from lacewinggw.decisions.locality import choose_agents
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.frontend.callers import CallerGone
 from lacewinggw.frontend.calls import Call
@@ -53,7 +53,7 @@
         loop_time = asyncio.get_running_loop().time
         self.is_open = True
         places = {HostId(entry.target): entry.place for entry in entries}
-        self.watched = choose_watched(HostId(name), Place(place), places)
+        self.watched = choose_agents(HostId(name), Place(place), places)
         self.metrics = Metrics()
         self.pool = TargetPool(Place(place), EjectionRules(3, 1.0, 0.5), rng)
         self._serving: set[asyncio.Task[None]] = set()
--- a/src/lacewinggw/lab/fleetmodel/offers.py
+++ b/src/lacewinggw/lab/fleetmodel/offers.py
@@ -91,7 +91,7 @@
         engine, call = self._engines[load.entry.target], self._calls[job.facts.call_id]
         await asyncio.sleep(3 * hop_s)
         if not engine.is_up:
-            load.note_unconnected(CONNECT_S, _now())
+            load.note_connect_failure(CONNECT_S, _now())
             return NotRun("cannot connect", arrived=False)
         load.note_connect(2 * hop_s, _now())
         done = sending.resume_after or 0
@@ -122,7 +122,7 @@
             raise
         if first is None:
             return Lost("the engine broke off")
-        load.note_heard(_now())
+        load.note_data(_now())
         response = ModelResponse(engine, accepted, first, hop_s)
         facts = AnswerFacts(None, False, True, VERSION)
         return Answer(OK, {}, facts, response)  # type: ignore[arg-type]
--- a/src/lacewinggw/lab/slopestate.py
+++ b/src/lacewinggw/lab/slopestate.py
@@ -10,14 +10,14 @@
     member_from_json,
     member_to_json,
 )
-from lacewinggw.decisions.addresses import EntryFacts, account_entries
-from lacewinggw.decisions.affinity import PrefixMemory, preferred_target
+from lacewinggw.decisions.addresses import LiveEntry, account_entries
+from lacewinggw.decisions.affinity import PrefixIndex, preferred_target
 from lacewinggw.decisions.limits import split_limit
 from lacewinggw.decisions.revisions import FleetState, change_of
-from lacewinggw.decisions.routing import Moment, TargetFacts, choose_target
+from lacewinggw.decisions.routing import RoutingContext, TargetStats, choose_target
 from lacewinggw.decisions.sources import SpreadRules
 from lacewinggw.decisions.spread import ReleaseSpread
-from lacewinggw.decisions.subsets import HostFacts, pick_subset
+from lacewinggw.decisions.subsets import TargetHost, pick_subset
 from lacewinggw.decisions.topology import DueHost, TopologyPlan
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.messages.ttypes import (
@@ -101,10 +101,10 @@
 # ---- decisions -----------------------------------------------------------------------------
 
 
-def _targets(count: int) -> list[TargetFacts]:
+def _targets(count: int) -> list[TargetStats]:
     targets = []
     for number in range(count):
-        facts = TargetFacts(
+        facts = TargetStats(
             HostId(f"host-{number:05}"),
             Place(f"place-{number % PLACES}"),
             Address(f"10.0.{number // 250}.{number % 250}:7000"),
@@ -120,18 +120,18 @@
 
 def _choosing(count: int, seed: int) -> Callable[[], object]:
     targets, rng = _targets(count), random.Random(seed)
-    return lambda: choose_target(targets, Moment(1.0), rng)
+    return lambda: choose_target(targets, RoutingContext(1.0), rng)
 
 
 def _preferring(count: int) -> Callable[[], object]:
-    targets, memory = _targets(count), PrefixMemory()
+    targets, memory = _targets(count), PrefixIndex()
     blocks = [f"{number:016x}" for number in range(8)]
-    return lambda: preferred_target(targets, blocks, memory, Moment(1.0))
+    return lambda: preferred_target(targets, blocks, memory, RoutingContext(1.0))
 
 
 def _picking(count: int) -> Callable[[], object]:
     hosts = [
-        HostFacts(HostId(f"host-{n:05}"), Place(f"place-{n % PLACES}"), Address(f"10.0.0.1:{n}"))
+        TargetHost(HostId(f"host-{n:05}"), Place(f"place-{n % PLACES}"), Address(f"10.0.0.1:{n}"))
         for n in range(count)
     ]
     return lambda: pick_subset(HostId("entry-0017"), Place("place-7"), 0.5, hosts, 64)
@@ -144,7 +144,7 @@
 
 def _naming(count: int) -> Callable[[], object]:
     entries = [
-        EntryFacts(HostId(f"entry-{n:04}"), Place(f"place-{n % PLACES}"), Address(f"10.1.0.1:{n}"))
+        LiveEntry(HostId(f"entry-{n:04}"), Place(f"place-{n % PLACES}"), Address(f"10.1.0.1:{n}"))
         for n in range(count)
     ]
     return lambda: account_entries(Account("saleyard"), entries, 3)
--- a/src/lacewinggw/loader/slots.py
+++ b/src/lacewinggw/loader/slots.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Iterable
 
-from lacewinggw.decisions.slots import SlotLedger, SlotWish
+from lacewinggw.decisions.slots import SlotAllocator, SlotRequest
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.messages.ttypes import SlotState
 from lacewinggw.ids import LeaseId, RequestDigest
@@ -29,7 +29,7 @@
     """
 
     def __init__(self, metrics: Metrics) -> None:
-        self._ledger = SlotLedger()
+        self._ledger = SlotAllocator()
         self._exchanges: dict[LeaseId, Exchange] = {}
         self._numbers = itertools.count()
         self._look: asyncio.TimerHandle | None = None
@@ -79,26 +79,26 @@
         lease = LeaseId(next(self._numbers))
         self._exchanges[lease] = exchange
         self._ledger.slots = ask.slots
-        self._ledger.ask(lease, _wish_of(ask), _now())
+        self._ledger.enqueue(lease, _wish_of(ask), _now())
         try:
             if not self._give(lease):
                 self._notify([lease], SlotState.QUEUED)
             await exchange.follow_up()
         finally:
             del self._exchanges[lease]
-            self._ledger.end(lease)
+            self._ledger.release(lease)
             self._give()
         exchange.end_quietly()
 
     def _give(self, asked: LeaseId | None = None) -> bool:
         """Give what is free to those in line; return whether `asked` is settled by it."""
         now = _now()
-        given = self._ledger.give(now)
+        given = self._ledger.grant(now)
         self._notify(given, SlotState.GRANTED)
         overtaken = self._ledger.drop_overtaken(now)
         self._notify(overtaken, SlotState.OVERTAKEN)
         self._cancel_look()
-        look_at = self._ledger.next_look(now)
+        look_at = self._ledger.next_check_at(now)
         if look_at is not None and look_at > now:
             loop = asyncio.get_running_loop()
             self._look = loop.call_at(look_at + LOOK_LATER_S, self._give)
@@ -115,13 +115,13 @@
             self._look = None
 
 
-def _wish_of(ask: messages.AskSlot) -> SlotWish:
+def _wish_of(ask: messages.AskSlot) -> SlotRequest:
     suspect = RequestDigest(ask.suspect) if ask.suspect else None
-    return SlotWish(
+    return SlotRequest(
         rank=ask.rank,
         is_late=ask.late,
         wait_s=ask.wait_ms / MS_PER_S,
-        reading_s=ask.reading_us / US_PER_S,
+        prefill_s=ask.reading_us / US_PER_S,
         suspect=suspect,
         waited_s=ask.waited_us / US_PER_S,
     )
--- a/tests/fleet/test_adapter.py
+++ b/tests/fleet/test_adapter.py
@@ -11,7 +11,7 @@
 
 from lacewinggw.decisions.routes import Repeat
 from lacewinggw.decisions.storeposition import StorePosition
-from lacewinggw.decisions.targetlist import TargetPhase, start_of
+from lacewinggw.decisions.targetlist import TargetPhase, make_target_id
 from lacewinggw.errors import MalformedHttp, PlatformError, PlatformUnavailable
 from lacewinggw.fleet.feed import (
     CrashingRequest,
@@ -80,7 +80,7 @@
 def test_a_target_as_it_lists_itself(state, phase):
     entry = decode_target("i-1", encoded(target_row(LLM, "10.2.0.1:8080", State=state)))
     assert (entry.name, entry.phase, entry.slots) == ("i-1", phase, 4)
-    assert entry.target == start_of("i-1", BORN_MS)
+    assert entry.target == make_target_id("i-1", BORN_MS)
     assert entry.weights == {"market": 1}
 
 
--- a/tests/fleet/test_entries_of_others.py
+++ b/tests/fleet/test_entries_of_others.py
@@ -7,7 +7,7 @@
 from declared_fleet import running_fleet
 from platform_standins import BORN_MS, DESK, LLM, Row, manifest, target_row
 
-from lacewinggw.decisions.targetlist import start_of
+from lacewinggw.decisions.targetlist import make_target_id
 
 pytestmark = pytest.mark.looptime
 
@@ -146,5 +146,5 @@
         await asyncio.sleep(3.0)
         now = asyncio.get_running_loop().time()
         entry = fleet.entries[0]
-        assert entry.pool.loads[start_of(engine.target_id, born_ms)].is_heard(now)
+        assert entry.pool.loads[make_target_id(engine.target_id, born_ms)].has_fresh_report(now)
         assert await served(fleet, "/report/1", X_Model="market")
--- a/tests/fleet/test_nearby.py
+++ b/tests/fleet/test_nearby.py
@@ -2,29 +2,29 @@
 
 from collections import Counter
 
-from lacewinggw.decisions.nearby import FAR_WATCHED, choose_watched
+from lacewinggw.decisions.locality import AGENTS_PER_FAR_PLACE, choose_agents
 
 PLACES = ("hall", "room", "shed")
 AGENTS = {f"10.2.{index % 3}.{index}": PLACES[index % 3] for index in range(36)}
 
 
 def test_all_of_the_place_and_a_few_of_each_other():
-    watched = choose_watched("entry-1", "hall", AGENTS)
+    watched = choose_agents("entry-1", "hall", AGENTS)
     counts = Counter(AGENTS[host] for host in watched)
-    assert counts == {"hall": 12, "room": FAR_WATCHED, "shed": FAR_WATCHED}
+    assert counts == {"hall": 12, "room": AGENTS_PER_FAR_PLACE, "shed": AGENTS_PER_FAR_PLACE}
 
 
 def test_different_entries_hear_different_agents_of_other_places():
     far = Counter(
         host
         for number in range(45)
-        for host in choose_watched(f"entry-{number}", "hall", AGENTS)
+        for host in choose_agents(f"entry-{number}", "hall", AGENTS)
         if AGENTS[host] != "hall"
     )
     assert len(far) == 24 and max(far.values()) <= 15
 
 
 def test_what_changes_elsewhere_changes_little():
-    before = choose_watched("entry-1", "hall", AGENTS)
+    before = choose_agents("entry-1", "hall", AGENTS)
     without = {host: place for host, place in AGENTS.items() if host != min(before)}
-    assert len(before - choose_watched("entry-1", "hall", without)) == 1
+    assert len(before - choose_agents("entry-1", "hall", without)) == 1
--- a/tests/fleet/test_punctuality.py
+++ b/tests/fleet/test_punctuality.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from lacewinggw.decisions.punctuality import CallerTimes, patience
 from lacewinggw.decisions.routes import EngineFigures, Repeat, Route, ServiceShare
-from lacewinggw.decisions.waiting import WaitingLine
+from lacewinggw.decisions.waitbudget import CallerTimeouts, wait_budget
+from lacewinggw.decisions.waitqueue import WaitQueue
 
 ENGINE = EngineFigures(16, 0.00673, 0.0000219, 0.0, 30600.0, 0.0, 2048, 6, 1_640_000, 964, 119)
 REPORT = Route(
@@ -13,67 +13,67 @@
 
 
 def test_a_first_attempt_waits_while_it_can_be_on_time():
-    wait = patience(REPORT, ENGINE, prompt_tokens=1000, elapsed_s=0.0, left_s=6.0)
+    wait = wait_budget(REPORT, ENGINE, prompt_tokens=1000, elapsed_s=0.0, left_s=6.0)
     assert not wait.is_late
     assert 0.2 < wait.wait_s < 0.3
 
 
 def test_a_longer_prompt_leaves_less_to_wait():
-    short = patience(REPORT, ENGINE, 500, 0.0, 6.0)
-    long = patience(REPORT, ENGINE, 3000, 0.0, 6.0)
+    short = wait_budget(REPORT, ENGINE, 500, 0.0, 6.0)
+    long = wait_budget(REPORT, ENGINE, 3000, 0.0, 6.0)
     assert long.wait_s < short.wait_s
 
 
 def test_one_that_came_back_is_late_and_waits_longer():
-    wait = patience(REPORT, ENGINE, 1000, elapsed_s=1.5, left_s=4.5)
+    wait = wait_budget(REPORT, ENGINE, 1000, elapsed_s=1.5, left_s=4.5)
     assert wait.is_late and wait.wait_s == 1.5
 
 
 def test_nobody_waits_for_more_than_half_of_what_is_left():
-    assert patience(REPORT, ENGINE, 1000, elapsed_s=5.0, left_s=1.0).wait_s == 0.5
+    assert wait_budget(REPORT, ENGINE, 1000, elapsed_s=5.0, left_s=1.0).wait_s == 0.5
 
 
 @pytest.mark.parametrize(
     ("left_s", "elapsed_s"), [(6.09, 0.0), (6.05, 0.0), (4.5, 1.59), (None, 0)]
 )
 def test_a_later_attempt_is_known_by_its_time_left(left_s, elapsed_s):
-    times = CallerTimes()
+    times = CallerTimeouts()
     times.elapsed("report", 6.09)
     assert times.elapsed("report", left_s) == pytest.approx(elapsed_s)
 
 
 def test_the_line_is_by_priority_then_the_newest_on_time_then_the_oldest_late():
-    line = WaitingLine()
-    late = line.join(1, is_late=True, until=9.0)
-    first = line.join(1, is_late=False, until=9.0)
-    second = line.join(1, is_late=False, until=9.0)
-    urgent = line.join(0, is_late=True, until=9.0)
-    later = line.join(1, is_late=True, until=9.0)
+    line = WaitQueue()
+    late = line.add(1, is_late=True, until=9.0)
+    first = line.add(1, is_late=False, until=9.0)
+    second = line.add(1, is_late=False, until=9.0)
+    urgent = line.add(0, is_late=True, until=9.0)
+    later = line.add(1, is_late=True, until=9.0)
     assert list(line.in_order()) == [urgent, second, first, late, later]
-    line.leave(first)
+    line.remove(first)
     assert list(line.in_order()) == [urgent, second, late, later] and len(line) == 4
 
 
 def test_the_wait_expected_grows_with_those_ahead_and_the_gap_between_starts():
-    line = WaitingLine()
+    line = WaitQueue()
     for number in range(4):
-        line.join(1, is_late=True, until=9.0)
+        line.add(1, is_late=True, until=9.0)
         line.note_start(0.05 * number)
     assert 0.0 < line.expected_wait(1, is_late=True) < 4 * 0.05
     assert line.expected_wait(1, is_late=False) == 0.0  # the newest goes first
-    line.join(0, is_late=False, until=9.0)
+    line.add(0, is_late=False, until=9.0)
     assert line.expected_wait(1, is_late=False) > 0.0  # but those of more urgent routes
     assert line.expected_wait(0, is_late=False) == 0.0
 
 
 def test_late_requests_wait_less_while_others_wait_in_vain():
-    line = WaitingLine()
+    line = WaitQueue()
     assert line.late_share == 1.0
     for _ in range(20):
-        line.note_late_end(started=False)
+        line.note_late_outcome(started=False)
     starved = line.late_share
     assert starved < 0.2
-    assert patience(REPORT, ENGINE, 1000, 1.5, 4.5, starved).wait_s < 0.3
+    assert wait_budget(REPORT, ENGINE, 1000, 1.5, 4.5, starved).wait_s < 0.3
     for _ in range(20):
-        line.note_late_end(started=True)
+        line.note_late_outcome(started=True)
     assert line.late_share > 0.8
--- a/tests/fleet/test_retry_budget.py
+++ b/tests/fleet/test_retry_budget.py
@@ -1,6 +1,6 @@
 """Retries in a fleet: a share of requests, and an entry's part of what the fleet has beyond it."""
 
-from lacewinggw.decisions.retries import LEAST, RetryBudget
+from lacewinggw.decisions.retries import MIN_RETRIES, RetryBudget
 
 
 def taken(budget, requests, tries, now=0.0):
@@ -23,7 +23,7 @@
 
 
 def test_a_few_in_any_case():
-    assert taken(RetryBudget(0.0), requests=0, tries=100) == LEAST
+    assert taken(RetryBudget(0.0), requests=0, tries=100) == MIN_RETRIES
 
 
 def test_a_window_of_its_own():
--- a/tests/fleet/test_slot_search.py
+++ b/tests/fleet/test_slot_search.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewinggw.decisions.slots import SlotWish
+from lacewinggw.decisions.slots import SlotRequest
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.frontend.slots import ASKED_AT_ONCE, SlotAnswer, SlotSearch
@@ -50,7 +50,7 @@
     found = await SlotSearch(
         lambda load, wish: by_load[id(load)].ask(wish),
         pick,
-        SlotWish(1, False, wait_s),
+        SlotRequest(1, False, wait_s),
         now - waited_s,
     ).find(now + wait_s)
     return found, asyncio.get_running_loop().time() - now
--- a/tests/fleet/test_store_return.py
+++ b/tests/fleet/test_store_return.py
@@ -6,7 +6,7 @@
 from declared_fleet import running_fleet
 from platform_standins import BORN_MS, manifest, target_row
 
-from lacewinggw.decisions.targetlist import start_of
+from lacewinggw.decisions.targetlist import make_target_id
 from lacewinggw.lab.standin import Outage
 
 pytestmark = pytest.mark.looptime
@@ -27,7 +27,7 @@
         await asyncio.sleep(NOTICED_S)
         knowledge = fleet.entries[0].knowledge
         assert knowledge.routes.version == 9
-        assert start_of("i-desk0", BORN_MS) in knowledge.leaving
+        assert make_target_id("i-desk0", BORN_MS) in knowledge.leaving
         assert (await fleet.ask("/sheet/1")).status == 200
 
 
@@ -41,7 +41,7 @@
         fleet.store.put("servers", "i-desk0", None)
         await asyncio.sleep(2.0)
         fitting = fleet.entries[0].knowledge
-        assert start_of("i-desk0", BORN_MS) in fitting.leaving
+        assert make_target_id("i-desk0", BORN_MS) in fitting.leaving
 
 
 async def test_a_target_that_is_off_the_list_is_left_in_time_after_being_turned_away():
@@ -52,7 +52,7 @@
         fleet.store.put("servers", "i-desk0", None)
         fleet.store.faults.outage = Outage.NONE
         await asyncio.sleep(2.9)
-        assert start_of("i-desk0", BORN_MS) not in fleet.entries[0].knowledge.targets
+        assert make_target_id("i-desk0", BORN_MS) not in fleet.entries[0].knowledge.targets
 
 
 @pytest.mark.parametrize("is_alone", [False, True])
--- a/tests/fleet/test_store_troubles.py
+++ b/tests/fleet/test_store_troubles.py
@@ -6,7 +6,7 @@
 from declared_fleet import running_fleet
 from platform_standins import BORN_MS, LLM, MODEL, manifest, target_row
 
-from lacewinggw.decisions.targetlist import start_of
+from lacewinggw.decisions.targetlist import make_target_id
 from lacewinggw.lab.standin import Outage
 
 pytestmark = pytest.mark.looptime
@@ -56,7 +56,7 @@
         await asyncio.sleep(1.0)
         fleet.store.deaf = False
         await asyncio.sleep(4.0)
-        assert start_of("i-desk0", BORN_MS) in fleet.entries[0].knowledge.leaving
+        assert make_target_id("i-desk0", BORN_MS) in fleet.entries[0].knowledge.leaving
         for _ in range(6):
             assert (await fleet.ask("/tally/1", "GET")).status == 200
         assert not fleet.targets["desk0"].seen
@@ -73,7 +73,7 @@
         assert len(fleet.entries[0].pool.loads) == 4
         fleet.store.put("servers", "i-desk0", target_row("desk", "10.3.0.1:8080"))
         await asyncio.sleep(2.5)
-        assert {start_of("i-desk0", BORN_MS)} == {
+        assert {make_target_id("i-desk0", BORN_MS)} == {
             name for name in fleet.entries[0].pool.loads if "desk" in name
         }
 
@@ -86,7 +86,7 @@
         entry = await fleet.add_entry(2)
         await asyncio.sleep(0.5)
         assert entry.knowledge.routes.version == 9
-        assert start_of("i-desk0", BORN_MS) not in entry.knowledge.targets
+        assert make_target_id("i-desk0", BORN_MS) not in entry.knowledge.targets
 
 
 async def test_a_list_that_changes_often_costs_few_calls_where_others_read_it():
@@ -112,7 +112,8 @@
         fleet.store.put("servers", "i-engine0", target_row(LLM, "10.2.0.1:8080", State="draining"))
         await asyncio.sleep(0.6)
         assert all(
-            start_of("i-engine0", BORN_MS) in entry.knowledge.leaving for entry in fleet.entries
+            make_target_id("i-engine0", BORN_MS) in entry.knowledge.leaving
+            for entry in fleet.entries
         )
 
 
@@ -154,7 +155,7 @@
         row = target_row("desk", "10.3.0.1:8080", State="draining")
         fleet.store.put("servers", "i-desk0", row)
         await asyncio.sleep(1.0)
-        assert start_of("i-desk0", BORN_MS) in fleet.entries[0].knowledge.leaving
+        assert make_target_id("i-desk0", BORN_MS) in fleet.entries[0].knowledge.leaving
         for _ in range(6):
             assert (await fleet.ask("/tally/1", "GET")).status == 200
         assert not fleet.targets["desk0"].seen
--- a/tests/fleet/test_targetbackoff.py
+++ b/tests/fleet/test_targetbackoff.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lacewinggw.decisions.dispatch import TargetPool, Wish
+from lacewinggw.decisions.dispatch import TargetPool, TargetRequirements
 from lacewinggw.decisions.ejection import EjectionRules
 from lacewinggw.decisions.targetbackoff import (
-    SPREAD_MOST_S,
-    SPREAD_SHARE,
+    JITTER_SHARE,
+    MAX_JITTER_S,
     RefusalBackoff,
     RequestedBackoff,
 )
@@ -19,17 +19,17 @@
 
 def test_the_longest_back_off_that_is_known_holds():
     backoff = RequestedBackoff()
-    backoff.note_asked(3.0, now=10.0, drawn=0.0)
-    backoff.note_asked(0.5, now=10.1, drawn=1.0)
+    backoff.note_requested(3.0, now=10.0, jitter=0.0)
+    backoff.note_requested(0.5, now=10.1, jitter=1.0)
     assert not backoff.is_over(12.9) and backoff.is_over(13.0)
-    backoff.note_asked(YEAR_S, now=14.0, drawn=0.5)
+    backoff.note_requested(YEAR_S, now=14.0, jitter=0.5)
     assert not backoff.is_over(14.0 + YEAR_S)
-    assert backoff.is_over(14.0 + YEAR_S + SPREAD_MOST_S)
+    assert backoff.is_over(14.0 + YEAR_S + MAX_JITTER_S)
 
 
 def test_requests_come_back_one_by_one_and_then_twice_as_many():
     backoff = RequestedBackoff()
-    backoff.note_asked(1.0, now=0.0, drawn=0.0)
+    backoff.note_requested(1.0, now=0.0, jitter=0.0)
     at_a_time = []
     for _ in range(3):
         sent = 0
@@ -39,15 +39,15 @@
         at_a_time.append(sent)
         for _ in range(sent):
             backoff.end_trial()
-        backoff.note_taken(sent_at=1.5, slots=4)
+        backoff.note_accepted(sent_at=1.5, slots=4)
     assert at_a_time == [1, 2, 4]
     assert backoff.has_trial() and not backoff.begin_trial()
 
 
 def test_what_was_sent_before_the_back_off_and_ends_after_it_shows_nothing():
     backoff = RequestedBackoff()
-    backoff.note_asked(1.0, now=5.0, drawn=0.0)
-    backoff.note_taken(sent_at=4.9, slots=4)
+    backoff.note_requested(1.0, now=5.0, jitter=0.0)
+    backoff.note_accepted(sent_at=4.9, slots=4)
     backoff.begin_trial()
     assert not backoff.has_trial()
 
@@ -61,10 +61,10 @@
         match rng.choice(["ask", "send", "end", "end"]):
             case "ask" if rng.random() < 0.2:
                 retry_after_s = rng.choice([0.01, 0.5, 3.0, 20.0])
-                backoff.note_asked(retry_after_s, now, rng.random())
+                backoff.note_requested(retry_after_s, now, rng.random())
                 least = max(least, now + retry_after_s)
                 bound = max(
-                    bound, now + retry_after_s + min(SPREAD_SHARE * retry_after_s, SPREAD_MOST_S)
+                    bound, now + retry_after_s + min(JITTER_SHARE * retry_after_s, MAX_JITTER_S)
                 )
             case "send" if backoff.is_over(now) and backoff.has_trial():
                 assert now >= least
@@ -73,11 +73,11 @@
                 sent_at, is_trial = sent.pop(0)
                 if is_trial:
                     backoff.end_trial()
-                backoff.note_taken(sent_at, slots=8)
+                backoff.note_accepted(sent_at, slots=8)
     for sent_at, is_trial in sent:
         if is_trial:
             backoff.end_trial()
-        backoff.note_taken(sent_at, slots=8)
+        backoff.note_accepted(sent_at, slots=8)
     assert backoff.is_over(bound) and backoff.has_trial()
 
 
@@ -96,10 +96,10 @@
     pool.note_backoff(load, 3.0, now=0.0)
     entry = load.entry
     pool.sync({})
-    assert not pool.is_open(load, now=9.0)
+    assert not pool.may_send(load, now=9.0)
     pool.sync({"a": entry})
-    assert pool.choose(pool.fitting(Wish("desk")), now=2.9) is None
-    assert pool.choose(pool.fitting(Wish("desk")), now=3.4) is not None
+    assert pool.choose(pool.eligible(TargetRequirements("desk")), now=2.9) is None
+    assert pool.choose(pool.eligible(TargetRequirements("desk")), now=3.4) is not None
 
 
 def test_a_new_start_under_the_same_name_is_used_at_once():
@@ -107,7 +107,7 @@
     pool.note_backoff(pool.loads["a/1"], YEAR_S, now=0.0)
     newer = TargetEntry("a", "desk", "a:80", "hall", slots=2, born_ms=2)
     pool.sync({newer.target: newer})
-    assert pool.choose(pool.fitting(Wish("desk")), now=0.1) is not None
+    assert pool.choose(pool.eligible(TargetRequirements("desk")), now=0.1) is not None
 
 
 def test_what_is_kept_of_targets_off_the_list_is_bounded():
@@ -123,7 +123,7 @@
     pause = RefusalBackoff()
     pauses = [pause.note_refused(sent_at=float(at), now=at + 0.1) for at in range(7)]
     assert pauses == [0.05, 0.1, 0.2, 0.4, 0.8, 0.8, 0.8]
-    pause.note_taken()
+    pause.note_accepted()
     assert pause.note_refused(sent_at=8.0, now=8.1) == 0.05
 
 
--- a/tests/fleet/test_targetrate.py
+++ b/tests/fleet/test_targetrate.py
@@ -14,14 +14,14 @@
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.decisions.targetrate import (
-    HOLDERS_LEAST,
     HOLDERS_PER_RATE,
-    LEAST_PER_S,
+    MIN_HOLDERS,
+    MIN_RATE_PER_S,
     Allowance,
-    Source,
+    LimitSource,
     TargetRate,
     choose_holders,
-    share_of,
+    entry_share,
 )
 from lacewinggw.frontend.calls import AnswerFacts
 from lacewinggw.frontend.targetrates import TargetRates
@@ -30,19 +30,19 @@
 
 def test_a_limit_is_new_once_and_when_it_changes():
     rate = TargetRate()
-    assert not rate.note_answer(None, asked_at=0.0, now=0.1)
-    assert rate.note_answer(1.5, asked_at=0.2, now=0.3)
-    assert not rate.note_answer(1.5, asked_at=0.3, now=0.4)
-    assert rate.note_answer(2.0, asked_at=0.4, now=0.5)
+    assert not rate.note_answer(None, sent_at=0.0, now=0.1)
+    assert rate.note_answer(1.5, sent_at=0.2, now=0.3)
+    assert not rate.note_answer(1.5, sent_at=0.3, now=0.4)
+    assert rate.note_answer(2.0, sent_at=0.4, now=0.5)
     assert rate.per_s == 2.0
 
 
 def test_an_answer_without_a_limit_ends_it_unless_it_was_asked_for_before():
     rate = TargetRate()
-    rate.note_answer(1.5, asked_at=0.0, now=1.0)
-    assert not rate.note_answer(None, asked_at=0.9, now=1.1)
+    rate.note_answer(1.5, sent_at=0.0, now=1.0)
+    assert not rate.note_answer(None, sent_at=0.9, now=1.1)
     assert rate.per_s == 1.5
-    assert rate.note_answer(None, asked_at=1.1, now=1.2)
+    assert rate.note_answer(None, sent_at=1.1, now=1.2)
     assert rate.per_s is None
 
 
@@ -65,12 +65,12 @@
 
 def test_an_update_counts_if_it_is_newer_and_not_just_by_its_way():
     rate = TargetRate()
-    rate.note_answer(1.5, asked_at=0.0, now=1.0)
-    assert not rate.note_update(None, seen_at=0.9, source=Source.NEAR)
-    assert not rate.note_update(1.5, seen_at=1.01, source=Source.NEAR)
-    assert rate.source is Source.ANSWER
-    assert rate.note_update(None, seen_at=1.01, source=Source.NEAR)
-    assert (rate.per_s, rate.source) == (None, Source.NEAR)
+    rate.note_answer(1.5, sent_at=0.0, now=1.0)
+    assert not rate.note_update(None, seen_at=0.9, source=LimitSource.NEAR)
+    assert not rate.note_update(1.5, seen_at=1.01, source=LimitSource.NEAR)
+    assert rate.source is LimitSource.ANSWER
+    assert rate.note_update(None, seen_at=1.01, source=LimitSource.NEAR)
+    assert (rate.per_s, rate.source) == (None, LimitSource.NEAR)
 
 
 def test_an_allowance_saves_one_request_and_starts_with_none():
@@ -97,9 +97,9 @@
 @pytest.mark.parametrize("per_s", [0.3, 1.0, 1.9, 7.5, 60.0])
 def test_the_shares_of_all_entries_are_the_limit(count, per_s):
     entries = entries_of(count)
-    shares = [share_of(each.host, "target", "place-1", per_s, entries) for each in entries]
+    shares = [entry_share(each.host, "target", "place-1", per_s, entries) for each in entries]
     assert sum(shares) == pytest.approx(per_s)
-    assert sum(share > 0 for share in shares) <= HOLDERS_LEAST + HOLDERS_PER_RATE * per_s
+    assert sum(share > 0 for share in shares) <= MIN_HOLDERS + HOLDERS_PER_RATE * per_s
 
 
 def test_entries_of_the_targets_place_come_first():
@@ -111,8 +111,8 @@
 
 def test_a_target_that_takes_nothing_is_asked_now_and_then_whether_it_does_again():
     entries = entries_of(8)
-    shares = [share_of(each.host, "target", "place-1", 0.0, entries) for each in entries]
-    assert 0.0 < sum(shares) <= LEAST_PER_S
+    shares = [entry_share(each.host, "target", "place-1", 0.0, entries) for each in entries]
+    assert 0.0 < sum(shares) <= MIN_RATE_PER_S
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -132,7 +132,7 @@
             entries.append(KnownEntry(f"late-{now}", "place-1", "10.1.0.200:7700"))
             holders = choose_holders("target", "place-1", per_s, entries)
             for each in entries:
-                share = max(per_s, LEAST_PER_S) / len(holders) if each.host in holders else 0.0
+                share = max(per_s, MIN_RATE_PER_S) / len(holders) if each.host in holders else 0.0
                 allowances.setdefault(each.host, Allowance(0.0, now)).set_share(share, now)
         if 10.0 < now < 12.0 or now > 25.0:
             for host in [host for host in holders if allowances[host].is_open(now)]:
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -69,7 +69,7 @@
 
 
 def retry_after_a_lost_reply(monkeypatch: pytest.MonkeyPatch) -> None:
-    def next_step(error: Any, situation: outcomes.Situation) -> outcomes.Step:
+    def next_step(error: Any, situation: outcomes.AttemptContext) -> outcomes.Step:
         return outcomes.next_step(error, replace(situation, repeatable=True))
 
     monkeypatch.setattr(requests, "next_step", next_step)
--- a/tests/test_named_entries.py
+++ b/tests/test_named_entries.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lacewinggw.clients.membership import Member, MemberRole, MemberState
-from lacewinggw.decisions.addresses import EntryFacts, account_entries
+from lacewinggw.decisions.addresses import LiveEntry, account_entries
 from lacewinggw.entry import named
 from lacewinggw.entry.named import NamedEntries
 from lacewinggw.ids import Account, Address, HostId, Place
@@ -27,14 +27,14 @@
     )
 
 
-def hosts(entries: tuple[EntryFacts, ...]) -> set[str]:
+def hosts(entries: tuple[LiveEntry, ...]) -> set[str]:
     return {entry.host for entry in entries}
 
 
 def test_each_list_is_ranked_once_for_an_account(monkeypatch: pytest.MonkeyPatch) -> None:
     ranked: list[Account] = []
 
-    def rank(account: Account, entries: list[EntryFacts], count: int) -> tuple[EntryFacts, ...]:
+    def rank(account: Account, entries: list[LiveEntry], count: int) -> tuple[LiveEntry, ...]:
         ranked.append(account)
         return account_entries(account, entries, count)
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -6,6 +6,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
+from lacewinggw.decisions.atmostonce import (
+    RETENTION_S,
+    AcceptedRun,
+    AlreadyTaken,
+    Rejected,
+    RejectionCause,
+    RunId,
+    RunRegistry,
+    RunState,
+    run_id,
+)
 from lacewinggw.decisions.claims import (
     Claim,
     ClaimState,
@@ -17,18 +28,7 @@
     never_starts,
     resolve,
 )
-from lacewinggw.decisions.once import (
-    HORIZON_S,
-    Absence,
-    Barred,
-    Known,
-    RunBook,
-    RunId,
-    RunState,
-    Taken,
-    run_id,
-)
-from lacewinggw.decisions.outcomes import GiveUp, Situation, StartOver, TryAgain, next_step
+from lacewinggw.decisions.outcomes import AttemptContext, GiveUp, Restart, Retry, next_step
 from lacewinggw.errors import (
     AnswerIncomplete,
     ConnectionLost,
@@ -51,31 +51,31 @@
 MINE = Incarnation("mine")
 
 
-def make_book(incarnation: str = MINE) -> RunBook:
-    return RunBook(Incarnation(incarnation), random.Random(1))
+def make_book(incarnation: str = MINE) -> RunRegistry:
+    return RunRegistry(Incarnation(incarnation), random.Random(1))
 
 
 def test_a_reservation_is_good_once() -> None:
     book = make_book()
     nonce = book.reserve(5.0, 0.0)
-    assert book.take(nonce, 1.0, True) == Taken()
-    assert book.take(nonce, 1.0, True) == Known(RunState.TAKEN)
+    assert book.take(nonce, 1.0, True) == AcceptedRun()
+    assert book.take(nonce, 1.0, True) == AlreadyTaken(RunState.TAKEN)
 
 
 def test_a_reservation_lapses_by_the_agents_own_clock() -> None:
     book = make_book()
     nonce = book.reserve(5.0, 0.0)
-    assert book.take(nonce, 5.0, True) == Barred(Absence.LAPSED)
+    assert book.take(nonce, 5.0, True) == Rejected(RejectionCause.LAPSED)
 
 
 def test_a_withdrawn_run_never_starts() -> None:
     book = make_book()
     nonce = book.reserve(5.0, 0.0)
     assert book.withdraw(nonce, 1.0, True) is Standing.NEVER_STARTED
-    assert book.take(nonce, 1.0, True) == Barred(Absence.WITHDRAWN)
+    assert book.take(nonce, 1.0, True) == Rejected(RejectionCause.WITHDRAWN)
     late = run_id("", "request", 1)
     assert book.withdraw(late, 1.0, False) is Standing.NEVER_STARTED
-    assert book.take(late, 1.0, False) == Barred(Absence.WITHDRAWN)
+    assert book.take(late, 1.0, False) == Rejected(RejectionCause.WITHDRAWN)
 
 
 def test_a_run_that_waits_can_be_withdrawn_and_one_that_started_cannot() -> None:
@@ -94,7 +94,7 @@
 def test_another_incarnation_proves_nothing() -> None:
     nonce = make_book("before").reserve(5.0, 0.0)
     book = make_book("after")
-    assert book.take(nonce, 0.0, True) == Barred(Absence.OTHER_INCARNATION)
+    assert book.take(nonce, 0.0, True) == Rejected(RejectionCause.OTHER_INCARNATION)
     assert book.withdraw(nonce, 0.0, True) is Standing.UNKNOWN
 
 
@@ -104,8 +104,8 @@
     book.take(nonce, 0.0, True)
     book.start(nonce, 0.0)
     book.finish(nonce, 0.0)
-    later = 2 * HORIZON_S
-    assert book.take(nonce, later, True) == Barred(Absence.FORGOTTEN)
+    later = 2 * RETENTION_S
+    assert book.take(nonce, later, True) == Rejected(RejectionCause.FORGOTTEN)
     assert book.withdraw(nonce, later, True) is Standing.UNKNOWN
     assert len(book) == 0
 
@@ -128,7 +128,7 @@
     @rule(number=st.integers(0, 8))
     def take_and_start(self, number: int) -> None:
         name, is_nonce = self.names[number % len(self.names)]
-        if self.book.take(name, self.now, is_nonce) == Taken() and number % 2:
+        if self.book.take(name, self.now, is_nonce) == AcceptedRun() and number % 2:
             assert self.book.start(name, self.now)
             self.started.append(name)
 
@@ -181,42 +181,42 @@
 
 def test_what_may_have_run_is_never_called_not_run() -> None:
     for kind in error_classes():
-        step = next_step(kind("reason"), Situation(repeatable=False, may_have_run=True))
-        assert isinstance(step, TryAgain) or step.error.outcome is Outcome.UNKNOWN, kind
+        step = next_step(kind("reason"), AttemptContext(repeatable=False, may_have_run=True))
+        assert isinstance(step, Retry) or step.error.outcome is Outcome.UNKNOWN, kind
 
 
 def test_every_final_error_has_an_outcome() -> None:
     for kind in error_classes():
-        step = next_step(kind("reason"), Situation(repeatable=False))
+        step = next_step(kind("reason"), AttemptContext(repeatable=False))
         if isinstance(step, GiveUp):
             assert step.error.outcome in (Outcome.NOT_RUN, Outcome.UNKNOWN), kind
 
 
 @pytest.mark.parametrize("error", [ConnectionLost(""), TargetFailed(""), AnswerIncomplete("")])
 def test_without_proof_only_a_repeatable_request_is_tried_again(error: Exception) -> None:
-    assert isinstance(next_step(error, Situation(repeatable=False)), GiveUp)
-    assert isinstance(next_step(error, Situation(repeatable=True)), TryAgain)
+    assert isinstance(next_step(error, AttemptContext(repeatable=False)), GiveUp)
+    assert isinstance(next_step(error, AttemptContext(repeatable=True)), Retry)
 
 
 @pytest.mark.parametrize("error", [Overloaded(""), Unreachable(""), Withdrawn(""), NoTarget("")])
 def test_with_proof_any_request_is_tried_again(error: Exception) -> None:
-    assert isinstance(next_step(error, Situation(repeatable=False)), TryAgain)
+    assert isinstance(next_step(error, AttemptContext(repeatable=False)), Retry)
 
 
 @pytest.mark.parametrize("error", [MalformedHttp(""), KeyReused(""), RetryBudgetSpent("")])
 def test_what_would_be_refused_again_is_not_tried_again(error: Exception) -> None:
-    assert isinstance(next_step(error, Situation(repeatable=True)), GiveUp)
+    assert isinstance(next_step(error, AttemptContext(repeatable=True)), GiveUp)
 
 
 def test_a_passed_deadline_ends_it() -> None:
-    assert isinstance(next_step(DeadlinePassed(""), Situation(repeatable=True)), GiveUp)
+    assert isinstance(next_step(DeadlinePassed(""), AttemptContext(repeatable=True)), GiveUp)
 
 
 def test_pieces_received_are_resumed_thrown_away_or_the_end() -> None:
     lost = ConnectionLost("")
-    resumable = Situation(repeatable=True, delivered=3)
-    assert isinstance(next_step(lost, resumable), TryAgain)
-    recalled = Situation(repeatable=True, delivered=3, resumable=False)
-    assert isinstance(next_step(lost, recalled), StartOver)
-    sent_on = Situation(repeatable=True, delivered=3, resumable=False, recallable=False)
+    resumable = AttemptContext(repeatable=True, delivered=3)
+    assert isinstance(next_step(lost, resumable), Retry)
+    recalled = AttemptContext(repeatable=True, delivered=3, resumable=False)
+    assert isinstance(next_step(lost, recalled), Restart)
+    sent_on = AttemptContext(repeatable=True, delivered=3, resumable=False, discardable=False)
     assert isinstance(next_step(lost, sent_on), GiveUp)
--- a/tests/test_request_faults.py
+++ b/tests/test_request_faults.py
@@ -15,7 +15,7 @@
 from request_fleet import MODEL, PLAIN, TOKEN, Entry, RequestFleet, request_fleet
 from virtual import run_virtual
 
-from lacewinggw.decisions.outcomes import GiveUp, Situation, Step, next_step
+from lacewinggw.decisions.outcomes import AttemptContext, GiveUp, Step, next_step
 from lacewinggw.entry import requests
 from lacewinggw.entry.answers import Progress
 from lacewinggw.entry.attempts import Attempt
@@ -222,11 +222,11 @@
     assert not violations, describe(violations)
 
 
-def retry_whatever(error: LacewingError, situation: Situation) -> Step:
+def retry_whatever(error: LacewingError, situation: AttemptContext) -> Step:
     return next_step(error, replace(situation, repeatable=True))
 
 
-def call_it_not_run(error: LacewingError, situation: Situation) -> Step:
+def call_it_not_run(error: LacewingError, situation: AttemptContext) -> Step:
     step = next_step(error, situation)
     return GiveUp(NoTarget(error.reason)) if isinstance(step, GiveUp) else step
 
--- a/tests/test_request_queue.py
+++ b/tests/test_request_queue.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lacewinggw.agent.queue import Refused, RequestQueue
-from lacewinggw.decisions.admission import URGENT_MEMORY_S, Slots
+from lacewinggw.decisions.admission import URGENT_WINDOW_S, Slots
 from lacewinggw.errors import Refusal
 from lacewinggw.generated.messages.ttypes import Priority, RequestHead
 from lacewinggw.metrics import Metrics
@@ -147,7 +147,7 @@
     bench.push("urgent2", priority=URGENT)
     assert bench.started[-1] == "urgent2"
     bench.queue.done("urgent2", 1.0)
-    await asyncio.sleep(URGENT_MEMORY_S + 1)
+    await asyncio.sleep(URGENT_WINDOW_S + 1)
     bench.queue.done("normal1", 1.0)
     assert bench.started[-2:] == ["normal4", "normal5"]
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -6,25 +6,30 @@
 import pytest
 
 from lacewinggw.decisions.addresses import (
-    EntryFacts,
+    LiveEntry,
     account_entries,
     answer_addresses,
     count_addresses,
 )
-from lacewinggw.decisions.affinity import PrefixMemory, preferred_target, prefix_blocks
-from lacewinggw.decisions.ejection import EjectionRules, Health, Standing, end_failed_call
+from lacewinggw.decisions.affinity import PrefixIndex, preferred_target, prefix_blocks
+from lacewinggw.decisions.ejection import (
+    EjectionRules,
+    EjectionState,
+    TargetHealth,
+    note_failed_call,
+)
 from lacewinggw.decisions.retries import RetryBudget
 from lacewinggw.decisions.routing import (
     LoadReport,
-    Moment,
     Policy,
-    TargetFacts,
+    RoutingContext,
+    TargetStats,
     choose_target,
     cost,
     note_report,
     work_ahead,
 )
-from lacewinggw.decisions.subsets import HostFacts, pick_subset, ring_position
+from lacewinggw.decisions.subsets import TargetHost, pick_subset, ring_position
 from lacewinggw.ids import (
     Account,
     Address,
@@ -36,11 +41,11 @@
     ServiceName,
 )
 
-RULES = EjectionRules(after=3, out_s=5.0, limit=0.5)
+RULES = EjectionRules(after_failures=3, ejection_s=5.0, max_ejected_share=0.5)
 
 
-def make_target(name: str, **changes: object) -> TargetFacts:
-    facts = TargetFacts(
+def make_target(name: str, **changes: object) -> TargetStats:
+    facts = TargetStats(
         HostId(name),
         Place("kgn-hall-a"),
         Address(f"{name}:1"),
@@ -57,9 +62,9 @@
     return facts
 
 
-def make_entries(count: int) -> list[EntryFacts]:
+def make_entries(count: int) -> list[LiveEntry]:
     return [
-        EntryFacts(HostId(f"e{n}"), Place(f"p{n % 3}"), Address(f"10.0.0.{n}:80"))
+        LiveEntry(HostId(f"e{n}"), Place(f"p{n % 3}"), Address(f"10.0.0.{n}:80"))
         for n in range(count)
     ]
 
@@ -67,7 +72,7 @@
 def test_the_less_loaded_of_two_is_chosen() -> None:
     busy, idle = make_target("busy", in_flight=5), make_target("idle")
     rng = random.Random(1)
-    chosen = {choose_target([busy, idle], Moment(0.0), rng).host for _ in range(20)}
+    chosen = {choose_target([busy, idle], RoutingContext(0.0), rng).host for _ in range(20)}
     assert chosen == {"idle"}
 
 
@@ -76,19 +81,19 @@
     targets, rng = [make_target(f"t{n}") for n in range(3)], random.Random(1)
     counted: Counter[str] = Counter()
     for turn in range(1, 301):
-        chosen = choose_target(targets, Moment(0.0), rng, policy)
+        chosen = choose_target(targets, RoutingContext(0.0), rng, policy)
         chosen.in_flight += 1
-        chosen.last_turn = turn
+        chosen.last_call = turn
         counted[chosen.host] += 1
     assert min(counted.values()) >= (70 if policy is Policy.RANDOM else 98)
 
 
 def test_a_slow_target_is_avoided_until_the_wait_elsewhere_is_longer() -> None:
     slow, quick = make_target("slow", request_s=10.0), make_target("quick", in_flight=8)
-    assert choose_target([slow, quick], Moment(0.0), random.Random(1)) is quick
+    assert choose_target([slow, quick], RoutingContext(0.0), random.Random(1)) is quick
     quick.in_flight = 100
-    assert choose_target([slow, quick], Moment(0.0), random.Random(1)) is slow
-    assert choose_target([slow, quick], Moment(0.0, urgent=True), random.Random(1)) is quick
+    assert choose_target([slow, quick], RoutingContext(0.0), random.Random(1)) is slow
+    assert choose_target([slow, quick], RoutingContext(0.0, urgent=True), random.Random(1)) is quick
 
 
 def test_a_stale_report_counts_for_less_and_own_calls_are_not_counted_twice() -> None:
@@ -103,52 +108,52 @@
     target = make_target("t", request_s=None)
     report = LoadReport(running=0, queued=0, capacity=8, request_s=10.0)
     note_report(target, report, 0.0)
-    assert cost(target, Moment(0.0)) == pytest.approx(10.0)
+    assert cost(target, RoutingContext(0.0)) == pytest.approx(10.0)
     note_report(target, report, 99.0)  # told again, but nothing ran there meanwhile
-    assert cost(target, Moment(100.0)) == pytest.approx(1.0, rel=0.01)
+    assert cost(target, RoutingContext(100.0)) == pytest.approx(1.0, rel=0.01)
 
 
 def test_a_fresh_target_gets_a_rising_share() -> None:
     fresh, old = make_target("fresh", serving_since=0.0), make_target("old")
     for target in (fresh, old):
         target.in_flight = 4
-    assert cost(fresh, Moment(0.5, 1.0, 5.0)) > 3 * cost(old, Moment(0.5, 1.0, 5.0))
-    assert cost(fresh, Moment(5.0, 1.0, 5.0)) == cost(old, Moment(5.0, 1.0, 5.0))
+    assert cost(fresh, RoutingContext(0.5, 1.0, 5.0)) > 3 * cost(old, RoutingContext(0.5, 1.0, 5.0))
+    assert cost(fresh, RoutingContext(5.0, 1.0, 5.0)) == cost(old, RoutingContext(5.0, 1.0, 5.0))
 
 
 def test_a_failing_target_goes_out_comes_back_on_trial_and_stays_out_longer_each_time() -> None:
-    health = Health()
+    health = TargetHealth()
     for _ in range(3):
-        end_failed_call(health, 0.0, 0, 4, RULES)
-    assert health.standing(4.9) is Standing.OUT
-    assert health.standing(5.0) is Standing.ON_TRIAL
+        note_failed_call(health, 0.0, 0, 4, RULES)
+    assert health.state(4.9) is EjectionState.EJECTED
+    assert health.state(5.0) is EjectionState.ON_TRIAL
     health.note_begin(5.0)
-    assert not health.may_take(5.0)
-    assert end_failed_call(health, 5.0, 0, 4, RULES)
-    assert health.standing(14.9) is Standing.OUT
+    assert not health.may_call(5.0)
+    assert note_failed_call(health, 5.0, 0, 4, RULES)
+    assert health.state(14.9) is EjectionState.EJECTED
     health.note_begin(15.0)
     assert health.note_success()
-    assert health.standing(15.0) is Standing.IN
+    assert health.state(15.0) is EjectionState.ACTIVE
 
 
 def test_a_target_that_fails_most_calls_goes_out_without_a_row_of_failures() -> None:
-    health, rng, rules = Health(), random.Random(1), EjectionRules(after=50)
+    health, rng, rules = TargetHealth(), random.Random(1), EjectionRules(after_failures=50)
     ejected = False
     for _ in range(100):
         if rng.random() < 0.75:
-            ejected = ejected or end_failed_call(health, 0.0, 0, 4, rules)
+            ejected = ejected or note_failed_call(health, 0.0, 0, 4, rules)
         elif not ejected:
             health.note_success()
     assert ejected
 
 
 def test_no_more_targets_go_out_than_the_limit() -> None:
-    healths = [Health() for _ in range(4)]
+    healths = [TargetHealth() for _ in range(4)]
     for _ in range(10):
         for health in healths:
-            out = sum(each.standing(0.0) is Standing.OUT for each in healths)
-            end_failed_call(health, 0.0, out, 4, RULES)
-    assert sum(each.standing(0.0) is Standing.OUT for each in healths) == 2
+            out = sum(each.state(0.0) is EjectionState.EJECTED for each in healths)
+            note_failed_call(health, 0.0, out, 4, RULES)
+    assert sum(each.state(0.0) is EjectionState.EJECTED for each in healths) == 2
 
 
 def test_retries_stay_within_their_share_under_total_failure() -> None:
@@ -171,7 +176,7 @@
 @pytest.mark.parametrize(("entries", "targets"), [(8, 124), (30, 120), (300, 620)])
 def test_subsets_are_bounded_even_and_leave_no_target_out(entries: int, targets: int) -> None:
     hosts = [
-        HostFacts(HostId(f"t{n}"), Place(f"p{n % 20}"), Address(f"t{n}:1")) for n in range(targets)
+        TargetHost(HostId(f"t{n}"), Place(f"p{n % 20}"), Address(f"t{n}:1")) for n in range(targets)
     ]
     names = [HostId(f"e{n}") for n in range(entries)]
     used: Counter[str] = Counter()
@@ -187,11 +192,11 @@
 
 
 def test_a_lost_target_or_entry_changes_little_of_a_subset() -> None:
-    hosts = [HostFacts(HostId(f"t{n}"), Place("q"), Address(f"t{n}:1")) for n in range(200)]
+    hosts = [TargetHost(HostId(f"t{n}"), Place("q"), Address(f"t{n}:1")) for n in range(200)]
     names = [HostId(f"e{n}") for n in range(100)]
     fewer = [each for each in hosts if each.host != "t7"]
 
-    def pick(entries: list[HostId], targets: list[HostFacts]) -> set[HostFacts]:
+    def pick(entries: list[HostId], targets: list[TargetHost]) -> set[TargetHost]:
         position = ring_position(names[0], entries)
         return set(pick_subset(names[0], Place("p"), position, targets, 64))
 
@@ -241,7 +246,7 @@
     for n in range(60):
         blocks = prefix_blocks(f"{n:064d}" + "x" * 192)
         chosen = {
-            preferred_target(order, blocks, PrefixMemory(), Moment(0.0)).host
+            preferred_target(order, blocks, PrefixIndex(), RoutingContext(0.0)).host
             for order in (targets, targets[::-1])
         }
         assert len(chosen) == 1
@@ -252,21 +257,21 @@
 def test_affinity_yields_to_load_and_to_slowness() -> None:
     targets = [make_target(f"t{n}") for n in range(3)]
     blocks = prefix_blocks("y" * 256)
-    home = preferred_target(targets, blocks, PrefixMemory(), Moment(0.0))
+    home = preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0))
     home.in_flight = 6
-    assert preferred_target(targets, blocks, PrefixMemory(), Moment(0.0)) is None
+    assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is None
     for each in targets:
         each.in_flight = 7
-    assert preferred_target(targets, blocks, PrefixMemory(), Moment(0.0)) is home
+    assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is home
     home.in_flight, home.request_s = 0, 10.0
-    assert preferred_target(targets, blocks, PrefixMemory(), Moment(0.0)) is None
+    assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is None
 
 
 def test_a_longer_known_prefix_wins_over_rendezvous() -> None:
     targets = [make_target(f"t{n}") for n in range(3)]
     blocks = prefix_blocks("z" * 64 * 8)
-    home = preferred_target(targets, blocks, PrefixMemory(), Moment(0.0))
+    home = preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0))
     other = next(each for each in targets if each is not home)
-    memory = PrefixMemory()
+    memory = PrefixIndex()
     memory.note(other.digest, blocks[:6], other.host)
-    assert preferred_target(targets, blocks, memory, Moment(0.0)) is other
+    assert preferred_target(targets, blocks, memory, RoutingContext(0.0)) is other
