--- a/src/lacewinggw/agent/downloads.py
+++ b/src/lacewinggw/agent/downloads.py
@@ -11,14 +11,14 @@
 from lacewinggw.agent.failures import failure_of, retry_reason
 from lacewinggw.agent.links import Pacer
 from lacewinggw.agent.mesh import Mesh
-from lacewinggw.decisions.sources import (
+from lacewinggw.decisions.chunkscheduler import CancelRequest, ChunkScheduler, RequestChunk
+from lacewinggw.decisions.chunksources import (
     Neighbour,
     Origin,
     Source,
     SpreadRules,
     Store,
 )
-from lacewinggw.decisions.spread import Ask, Cancel, ReleaseSpread
 from lacewinggw.decisions.topology import Topology
 from lacewinggw.errors import (
     CorruptChunk,
@@ -67,7 +67,7 @@
 
 MakeSpread = Callable[
     [Sequence[int], SpreadRules, Place, random.Random, float],
-    ReleaseSpread,
+    ChunkScheduler,
 ]
 
 
@@ -85,7 +85,7 @@
     place: Place
     rules: SpreadRules
     rng: random.Random
-    make_spread: MakeSpread = ReleaseSpread
+    make_spread: MakeSpread = ChunkScheduler
 
 
 OnChunk = Callable[[Digest, int], None]
@@ -119,7 +119,7 @@
         self._closed = False
 
     @property
-    def spread(self) -> ReleaseSpread:
+    def spread(self) -> ChunkScheduler:
         """The policy's view of the release."""
         return self._spread
 
@@ -162,20 +162,20 @@
         """Greet those of `hosts` that have not said what they hold."""
         for host in hosts:
             state = self._spread.neighbours.get(host)
-            if state is None or not state.told:
+            if state is None or not state.has_reported:
                 self.greet(host)
 
     def neighbour_down(self, host: HostId) -> None:
         """Forget a neighbour whose link is gone."""
-        self._spread.link_down(host)
+        self._spread.remove_neighbour(host)
         self.advance()
 
     def take_have(self, remote: Identity, have: messages.Have) -> None:
         """Note what a neighbour says it holds."""
         host = HostId(remote.host)
-        self._spread.link_up(host, Place(remote.place), Incarnation(remote.incarnation))
+        self._spread.add_neighbour(host, Place(remote.place), Incarnation(remote.incarnation))
         indexes = decode_bitmap(have.bitmap) if have.bitmap is not None else have.added or []
-        self._spread.have(host, indexes, _now(), have.waiting)
+        self._spread.record_held_chunks(host, indexes, _now(), have.waiting)
         link = self._around.mesh.link(host)
         if have.wants_reply and link is not None:
             link.notify(self._whole_have(wants_reply=False))
@@ -218,14 +218,14 @@
             return
         for action in self._spread.decide(_now()):
             match action:
-                case Ask(source, index):
+                case RequestChunk(source, index):
                     task = asyncio.get_running_loop().create_task(self._fetch(action))
                     self._fetches[source, index] = task
-                case Cancel(source, index):
+                case CancelRequest(source, index):
                     self._around.metrics.retry(RetryReason.CHUNK_STALLED)
                     self._cancel(source, index)
 
-    async def _fetch(self, ask: Ask) -> None:
+    async def _fetch(self, ask: RequestChunk) -> None:
         source, index = ask.source, ask.index
         try:
             data = await self._receive(ask)
@@ -241,7 +241,7 @@
             self._take(source, index)
         self.advance()
 
-    async def _receive(self, ask: Ask) -> bytes:
+    async def _receive(self, ask: RequestChunk) -> bytes:
         match ask.source:
             case Neighbour(host):
                 return await self._receive_from(host, ask)
@@ -252,7 +252,7 @@
                 source = self._around.store
         return await source.fetch(self.manifest, ask.index)
 
-    async def _receive_from(self, host: HostId, ask: Ask) -> bytes:
+    async def _receive_from(self, host: HostId, ask: RequestChunk) -> bytes:
         link = self._around.mesh.link(host)
         if link is None:
             raise LinkBusy(f"the link to {host} is gone")
@@ -264,7 +264,7 @@
                 received += piece.data
                 if len(received) > size:
                     raise CorruptChunk(f"chunk {ask.index} from {host} is too long")
-                self._spread.progress(ask.source, ask.index, _now())
+                self._spread.record_progress(ask.source, ask.index, _now())
         finally:
             call.abandon()
         return bytes(received)
@@ -275,7 +275,7 @@
             "chunk_failed", source=str(source), index=index, failure=failure.value, error=error
         )
         self._around.metrics.retry(retry_reason(source, failure))
-        self._spread.failed(source, index, failure, _now())
+        self._spread.record_failure(source, index, failure, _now())
 
     def _take(self, source: Source | None, index: int) -> None:
         """Count in a verified chunk, wherever in the release its bytes occur."""
@@ -283,11 +283,13 @@
         for each, chunk_hash in enumerate(self.manifest.chunk_hashes):
             if chunk_hash != wanted or each in self._spread.held:
                 continue
-            for cancel in self._spread.arrived(source if each == index else None, each, _now()):
+            for cancel in self._spread.record_arrival(
+                source if each == index else None, each, _now()
+            ):
                 self._cancel(cancel.source, cancel.index)
             self._fresh.append(each)
             self._on_chunk(self.digest, each)
-        if self._spread.complete and not self.complete.is_set():
+        if self._spread.is_complete and not self.complete.is_set():
             self._ended_at = _now()
             self.complete.set()
 
@@ -351,7 +353,7 @@
         )
 
     def _held_up_by(self) -> str:
-        missing = self._spread.missing_everywhere(_now())
+        missing = self._spread.unavailable_chunks(_now())
         if not missing:
             return ""
         first = ", ".join(str(index) for index in missing[:NAMED_CHUNKS])
--- a/src/lacewinggw/agent/failures.py
+++ b/src/lacewinggw/agent/failures.py
@@ -1,6 +1,6 @@
 """What a failed chunk means for its source, and how it is counted."""
 
-from lacewinggw.decisions.sources import FetchFailure, Neighbour, Source
+from lacewinggw.decisions.chunksources import FetchFailure, Neighbour, Source
 from lacewinggw.errors import (
     CorruptChunk,
     LacewingError,
--- a/src/lacewinggw/agent/follower.py
+++ b/src/lacewinggw/agent/follower.py
@@ -13,7 +13,7 @@
 from lacewinggw.configuration.holder import ReplicaHolder
 from lacewinggw.configuration.replica import Replica
 from lacewinggw.configuration.upstreams import Upstreams
-from lacewinggw.decisions.pollers import Candidate, upstream_entries
+from lacewinggw.decisions.peerselection import Candidate, order_agent_upstreams
 from lacewinggw.errors import LacewingError
 from lacewinggw.generated.settings.ttypes import ConfigurationSettings
 from lacewinggw.ids import Address
@@ -94,7 +94,7 @@
 
     def _addresses(self) -> list[Address]:
         identity = self._node.identity
-        entries = upstream_entries(identity.host, identity.place, self._entries())
+        entries = order_agent_upstreams(identity.host, identity.place, self._entries())
         return [Address(entry.address) for entry in entries]
 
     async def _bootstrap(self) -> bool:
--- a/src/lacewinggw/agent/keeper.py
+++ b/src/lacewinggw/agent/keeper.py
@@ -24,17 +24,17 @@
 )
 from lacewinggw.decisions.lifecycle import (
     Activate,
-    Adapt,
+    DesiredState,
     Load,
-    Observed,
-    Progress,
+    ObservedState,
+    Reconfigure,
     Retire,
     Serve,
     Stage,
+    StagingProgress,
     Step,
     Unload,
-    Wait,
-    Wanted,
+    WaitForChange,
     incoming_digest,
     next_step,
 )
@@ -47,7 +47,7 @@
 
 READ_BACK_S = 1.0
 RETRY_S = 0.5
-ORDERS = (Load, Activate, Adapt, Unload)
+ORDERS = (Load, Activate, Reconfigure, Unload)
 
 log = get_logger(__name__)
 
@@ -67,7 +67,7 @@
         engine: EngineClient,
         spreader: Spreader,
         requests: RequestService,
-        wanted: Callable[[], Wanted | None],
+        wanted: Callable[[], DesiredState | None],
         fence: Callable[[], int],
         is_current: Callable[[], bool],
         on_change: Callable[[], None],
@@ -136,25 +136,25 @@
         else:
             self._show(self._gate.state, str(error))
 
-    async def _observe(self, wanted: Wanted | None) -> Observed:
+    async def _observe(self, wanted: DesiredState | None) -> ObservedState:
         if self._gate.kind is TargetKind.PLAIN:
-            return Observed(reachable=await self._accepts_connections())
+            return ObservedState(reachable=await self._accepts_connections())
         state = await self._engine.state()
         self._read_back(state.active)
         loaded = frozenset(state.loaded)
         self._note_ready(wanted, loaded)
         incoming = incoming_digest(wanted, state.active, loaded)
-        progress = await self._progress_of(Digest(incoming)) if incoming else Progress()
-        return Observed(
+        progress = await self._progress_of(Digest(incoming)) if incoming else StagingProgress()
+        return ObservedState(
             True, state.active, loaded, progress, state.role.value, frozenset(state.adapters)
         )
 
-    async def _progress_of(self, digest: Digest) -> Progress:
+    async def _progress_of(self, digest: Digest) -> StagingProgress:
         chunk_count = self._spreader.chunk_count(digest)
         staged = self._staged.setdefault(digest, set())
         if chunk_count and len(staged) == chunk_count:
             staged &= set(await self._engine.staged(digest))
-        return Progress(len(self._spreader.held(digest)), len(staged), chunk_count)
+        return StagingProgress(len(self._spreader.held(digest)), len(staged), chunk_count)
 
     async def _accepts_connections(self) -> bool:
         try:
@@ -172,19 +172,19 @@
         self._gate.active_digest = active
         self._on_change()
 
-    def _note_ready(self, wanted: Wanted | None, loaded: frozenset[str]) -> None:
+    def _note_ready(self, wanted: DesiredState | None, loaded: frozenset[str]) -> None:
         next_digest = wanted.next_digest if wanted is not None else ""
         ready = next_digest if next_digest in loaded else ""
         if ready != self._gate.ready_digest:
             self._gate.ready_digest = ready
             self._on_change()
 
-    async def _carry_out(self, wanted: Wanted | None, step: Step) -> float:
+    async def _carry_out(self, wanted: DesiredState | None, step: Step) -> float:
         if wanted is None or isinstance(step, Retire):
             await self._retire()
             return READ_BACK_S
         match step:
-            case Wait(reason, serving):
+            case WaitForChange(reason, serving):
                 self._show_progress(wanted, serving, reason)
                 return READ_BACK_S
             case Stage(digest, serving):
@@ -195,7 +195,7 @@
                 await self._load(wanted, Digest(digest))
             case Activate(digest):
                 await self._activate(wanted, Digest(digest))
-            case Adapt():
+            case Reconfigure():
                 await self._adapt(step)
             case Unload(digests):
                 await self._unload(digests)
@@ -210,7 +210,7 @@
             await self._engine.stage_chunk(digest, index, self._spreader.chunk(digest, index))
             staged.add(index)
 
-    async def _load(self, wanted: Wanted, digest: Digest) -> None:
+    async def _load(self, wanted: DesiredState, digest: Digest) -> None:
         named = wanted.release if digest == wanted.digest else wanted.next_release
         chunk_count = self._spreader.chunk_count(digest)
         await self._order(LoadOrder(digest, ReleaseName(named), chunk_count))
@@ -242,7 +242,7 @@
                 remedy="set `target_fences = no` in [agent], or see to the target",
             )
 
-    async def _activate(self, wanted: Wanted, digest: Digest) -> None:
+    async def _activate(self, wanted: DesiredState, digest: Digest) -> None:
         """Swap: no request may see two digests, so those on the old one end first."""
         self._gate.serving = False
         self._show(TargetState.LOADING, "")
@@ -257,7 +257,7 @@
         finally:
             self._requests.resume()
 
-    async def _adapt(self, step: Adapt) -> None:
+    async def _adapt(self, step: Reconfigure) -> None:
         """Change role and adapters while no request runs that could see the change half done."""
         await self._requests.quiesce()
         try:
@@ -270,7 +270,7 @@
         finally:
             self._requests.resume()
 
-    def _serve(self, wanted: Wanted, held_up_by: str = "") -> None:
+    def _serve(self, wanted: DesiredState, held_up_by: str = "") -> None:
         self._gate.service = wanted.service
         self._gate.release = wanted.release
         self._gate.serving = True
@@ -283,7 +283,7 @@
             self._requests.resume()
         self._show(TargetState.IDLE, "no service is placed on this host")
 
-    def _show_progress(self, wanted: Wanted, serving: bool, reason: str) -> None:
+    def _show_progress(self, wanted: DesiredState, serving: bool, reason: str) -> None:
         if serving:
             self._serve(wanted, reason)
         else:
--- a/src/lacewinggw/agent/links.py
+++ b/src/lacewinggw/agent/links.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lacewinggw.decisions.yielding import YieldPolicy, YieldRules
+from lacewinggw.decisions.weightbandwidth import WeightBandwidthLimiter, WeightBandwidthRules
 
 CATCH_UP_S = 0.02  # timers fire some ms late, slice after slice; that much is made up for
 BURST_S = 0.25  # chunks of several neighbours that come in together are not told one by one
@@ -48,28 +48,28 @@
     """What live requests tell of this host's link, so that weights can make room for them."""
 
     def __init__(self, link_bytes_per_s: float, share: float) -> None:
-        self._rules = YieldRules(link_bytes_per_s, share)
-        self._policy: YieldPolicy | None = None
+        self._rules = WeightBandwidthRules(link_bytes_per_s, share)
+        self._policy: WeightBandwidthLimiter | None = None
 
     def note_latency(self, seconds: float) -> None:
         """Note how long a live request waited for its first piece, in seconds."""
-        self._running.note_latency(seconds, _now())
+        self._running.record_latency(seconds, _now())
 
     def note_bytes(self, count: int) -> None:
         """Note bytes of live requests that passed the link."""
-        self._running.note_bytes(count)
+        self._running.record_live_bytes(count)
 
     def weights_rate(self) -> float:
         """Return what weights may take now, in bytes per second and direction."""
-        return self._running.rate(_now())
+        return self._running.allowed_bytes_per_s(_now())
 
     @property
     def factor(self) -> float:
         """How far weights yield to the latency of live requests: 1 not at all."""
-        return self._policy.factor if self._policy else 1.0
+        return self._policy.latency_factor if self._policy else 1.0
 
     @property
-    def _running(self) -> YieldPolicy:
+    def _running(self) -> WeightBandwidthLimiter:
         if self._policy is None:
-            self._policy = YieldPolicy(self._rules, _now())
+            self._policy = WeightBandwidthLimiter(self._rules, _now())
         return self._policy
--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -16,8 +16,8 @@
 from lacewinggw.clients.plain import PlainClient
 from lacewinggw.clients.watch import MemberList, MemberWatch
 from lacewinggw.configuration.candidates import entry_candidates
-from lacewinggw.decisions.lifecycle import Wanted
-from lacewinggw.decisions.revisions import FleetState, declares_any, moves_placements
+from lacewinggw.decisions.lifecycle import DesiredState
+from lacewinggw.decisions.revisions import FleetState, declares_any, may_change_placements
 from lacewinggw.errors import LacewingError, UnsupportedMessage
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.settings.ttypes import Settings
@@ -36,7 +36,7 @@
 log = get_logger(__name__)
 
 
-def wanted_of(state: FleetState, host: str) -> Wanted | None:
+def wanted_of(state: FleetState, host: str) -> DesiredState | None:
     """Return what the configuration wants of the target on `host`.
 
     A drained host is wanted for nothing at once, even while the entry that takes its replicas away
@@ -47,7 +47,7 @@
     for service, release in state.assignments_of(host):
         upcoming = state.next_releases_of(service).get(host, "")
         declared = state.services[service]
-        return Wanted(
+        return DesiredState(
             service,
             release,
             state.release_digest(release),
@@ -243,7 +243,7 @@
     def _take_changes(self, state: FleetState, entries: Sequence[messages.LogEntry]) -> None:
         """Follow only what can concern this host: most changes are about other services."""
         own = {service for service, _ in state.assignments_of(self._settings.process.host)}
-        if moves_placements(entries) or declares_any(entries, own):
+        if may_change_placements(entries) or declares_any(entries, own):
             self._take_state(state)
 
     def _take_state(self, state: FleetState) -> None:
--- a/src/lacewinggw/agent/views.py
+++ b/src/lacewinggw/agent/views.py
@@ -6,7 +6,7 @@
 
 from lacewinggw.agent.mesh import Mesh
 from lacewinggw.clients.membership import Member
-from lacewinggw.decisions.topology import DueHost, Topology, TopologyPlan
+from lacewinggw.decisions.topology import ReleaseHost, Topology, TopologyRules
 from lacewinggw.generated.messages.ttypes import Prefer
 from lacewinggw.generated.settings.ttypes import SpreadSettings
 from lacewinggw.ids import Digest, HostId
@@ -17,7 +17,7 @@
 class PlanLike(Protocol):
     """What derives the links of a release."""
 
-    def derive(self, me: DueHost, hosts: Iterable[DueHost], digest: Digest) -> Topology:
+    def derive(self, me: ReleaseHost, hosts: Iterable[ReleaseHost], digest: Digest) -> Topology:
         """Return the topology for `me` among `hosts`."""
 
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, me: DueHost, settings: SpreadSettings, mesh: Mesh, bad_sources: BadSources
+        self, me: ReleaseHost, settings: SpreadSettings, mesh: Mesh, bad_sources: BadSources
     ) -> None:
         self.other_plan: PlanLike | None = None
         self.topologies: dict[Digest, Topology] = {}
@@ -69,20 +69,20 @@
         self._derived_from = self._facts()
         suspects = self._derived_from[0]
         live = {
-            host: DueHost(host, member.place)
+            host: ReleaseHost(host, member.place)
             for host, member in self._members.items()
             if host not in suspects
         }
         self.topologies = {digest: self._derive_one(each, live) for digest, each in due.items()}
         self._mesh.want({host for each in self.topologies.values() for host in each.neighbours})
 
-    def _derive_one(self, due: DueRelease, live: Mapping[HostId, DueHost]) -> Topology:
+    def _derive_one(self, due: DueRelease, live: Mapping[HostId, ReleaseHost]) -> Topology:
         bad = self._bad_sources(due.digest)
         hosts = [live[host] for host in due.hosts if host in live and host not in bad]
         return self._plan(due).derive(self._me, hosts, due.digest)
 
     def _plan(self, due: DueRelease) -> PlanLike:
-        return self.other_plan or TopologyPlan(
+        return self.other_plan or TopologyRules(
             local=self._settings.neighbours,
             remote=self._settings.remote_neighbours,
             columns=self._settings.gateways,
--- a/src/lacewinggw/agent/weights.py
+++ b/src/lacewinggw/agent/weights.py
@@ -29,9 +29,9 @@
 from lacewinggw.agent.views import DueRelease, HostViews, PlanLike
 from lacewinggw.background import Background
 from lacewinggw.clients.membership import Member
-from lacewinggw.decisions.sources import SpreadRules
-from lacewinggw.decisions.spread import TICK_S
-from lacewinggw.decisions.topology import DueHost
+from lacewinggw.decisions.chunkscheduler import DECIDE_INTERVAL_S
+from lacewinggw.decisions.chunksources import SpreadRules
+from lacewinggw.decisions.topology import ReleaseHost
 from lacewinggw.decisions.uploads import UploadRequest
 from lacewinggw.errors import ChunkNotHeld, UnknownDigest
 from lacewinggw.generated.messages import ttypes as messages
@@ -83,7 +83,7 @@
         self._place = Place(settings.process.place)
         self._chunks = ChunkStore()
         self._mesh = Mesh(node, self._link_up, self._link_down)
-        me = DueHost(HostId(settings.process.host), self._place)
+        me = ReleaseHost(HostId(settings.process.host), self._place)
         self._views = HostViews(me, settings.spread, self._mesh, self._bad_sources)
         self._around = Surroundings(
             chunks=self._chunks,
@@ -365,12 +365,12 @@
         loop = asyncio.get_running_loop()
         tick_at = greet_at = loop.time()
         while True:
-            await asyncio.sleep(ANNOUNCE_S if self._is_busy else TICK_S)
+            await asyncio.sleep(ANNOUNCE_S if self._is_busy else DECIDE_INTERVAL_S)
             for download in list(self._downloads.values()):
                 download.announce()
             if loop.time() < tick_at:
                 continue
-            tick_at = loop.time() + TICK_S
+            tick_at = loop.time() + DECIDE_INTERVAL_S
             self._tick()
             if loop.time() >= greet_at:
                 greet_at = loop.time() + GREET_S
@@ -378,7 +378,7 @@
 
     @property
     def _is_busy(self) -> bool:
-        return any(not each.spread.complete for each in self._downloads.values())
+        return any(not each.spread.is_complete for each in self._downloads.values())
 
     def _tick(self) -> None:
         if self._views.is_outdated():
--- a/src/lacewinggw/configuration/candidates.py
+++ b/src/lacewinggw/configuration/candidates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from lacewinggw.clients.membership import Member, MemberRole
-from lacewinggw.decisions.pollers import Candidate
+from lacewinggw.decisions.peerselection import Candidate
 
 
 def entry_candidates(members: Iterable[Member]) -> list[Candidate]:
--- a/src/lacewinggw/decisions/holdings.py
+++ b/src/lacewinggw/decisions/chunkavailability.py
@@ -41,7 +41,7 @@
         return rng.sample(self._items, count)
 
 
-class Holdings:
+class ChunkAvailability:
     """Chunks by what is known of them, kept up to date one by one.
 
     `local` and `remote` count the neighbours, in this place and in others, that show each chunk. A
@@ -52,46 +52,46 @@
     def __init__(self, count: int) -> None:
         self.held: set[int] = set()
         self.missing = set(range(count))
-        self.local = [0] * count
-        self.remote = [0] * count
-        self.absent: list[set[int]] = [set(self.missing)]
-        self.elsewhere: list[set[int]] = [set()]
+        self.local_holders = [0] * count
+        self.remote_holders = [0] * count
+        self.unavailable: list[set[int]] = [set(self.missing)]
+        self.remote_only: list[set[int]] = [set()]
 
     def set_columns(self, columns: int) -> None:
         """Sort the chunks into columns: chunk `i` is in column `i` modulo their number."""
-        self.absent = [set() for _ in range(max(columns, 1))]
-        self.elsewhere = [set() for _ in range(max(columns, 1))]
+        self.unavailable = [set() for _ in range(max(columns, 1))]
+        self.remote_only = [set() for _ in range(max(columns, 1))]
         for index in self.missing:
             self._sort(index)
 
-    def column(self, index: int) -> int:
+    def column_of(self, index: int) -> int:
         """Return a chunk's column."""
-        return index % len(self.absent)
+        return index % len(self.unavailable)
 
-    def is_shown(self, index: int) -> bool:
+    def is_available(self, index: int) -> bool:
         """Return whether any neighbour shows a chunk."""
-        return self.local[index] + self.remote[index] > 0
+        return self.local_holders[index] + self.remote_holders[index] > 0
 
-    def show(self, index: int, local: bool) -> None:
+    def add_holder(self, index: int, local: bool) -> None:
         """Count one more neighbour that shows a chunk."""
-        (self.local if local else self.remote)[index] += 1
+        (self.local_holders if local else self.remote_holders)[index] += 1
         self._sort(index)
 
-    def hide(self, index: int, local: bool) -> None:
+    def remove_holder(self, index: int, local: bool) -> None:
         """Count one neighbour less that shows a chunk."""
-        (self.local if local else self.remote)[index] -= 1
+        (self.local_holders if local else self.remote_holders)[index] -= 1
         self._sort(index)
 
-    def hold(self, index: int) -> None:
+    def mark_held(self, index: int) -> None:
         """Note that a chunk is held here."""
         self.held.add(index)
         self.missing.discard(index)
         self._sort(index)
 
     def _sort(self, index: int) -> None:
-        column = self.column(index)
-        self.absent[column].discard(index)
-        self.elsewhere[column].discard(index)
-        if index not in self.missing or self.local[index]:
+        column = self.column_of(index)
+        self.unavailable[column].discard(index)
+        self.remote_only[column].discard(index)
+        if index not in self.missing or self.local_holders[index]:
             return
-        (self.elsewhere if self.remote[index] else self.absent)[column].add(index)
+        (self.remote_only if self.remote_holders[index] else self.unavailable)[column].add(index)
--- a/src/lacewinggw/decisions/spread.py
+++ b/src/lacewinggw/decisions/chunkscheduler.py
@@ -10,9 +10,8 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-from lacewinggw.decisions.holdings import Holdings
-from lacewinggw.decisions.linkpace import LinkPace, OnItsWay
-from lacewinggw.decisions.sources import (
+from lacewinggw.decisions.chunkavailability import ChunkAvailability
+from lacewinggw.decisions.chunksources import (
     Fetch,
     FetchFailure,
     Neighbour,
@@ -23,21 +22,24 @@
     SpreadRules,
     Store,
 )
+from lacewinggw.decisions.columnfailover import ColumnFailover
+from lacewinggw.decisions.linkpacing import ChunkInFlight, LinkPacer
 from lacewinggw.decisions.topology import ColumnRanks, Topology
-from lacewinggw.decisions.turns import ColumnTurns
 from lacewinggw.ids import HostId, Incarnation, Place
 
-TICK_S = 0.1
+DECIDE_INTERVAL_S = 0.1
 SOURCES_PER_CHUNK = 2
-STAND_IN_RANK = 1  # of a column: the next one after its gateway
-LATE_TURN_S = (
+BACKUP_RANK = 1  # of a column: the next one after its gateway
+DUPLICATE_STAGGER_S = (
     0.4  # between the turns of those that may bring in once more what one host is slow with
 )
-RAREST_OF = 64  # chunks looked at to find a rare one; looking at all costs time with their square
+RARITY_SAMPLE_SIZE = (
+    64  # chunks looked at to find a rare one; looking at all costs time with their square
+)
 
 
 @dataclass(frozen=True)
-class Ask:
+class RequestChunk:
     """Ask a source for a chunk."""
 
     source: Source
@@ -46,17 +48,17 @@
 
 
 @dataclass(frozen=True)
-class Cancel:
+class CancelRequest:
     """Give up a chunk that was asked of a source."""
 
     source: Source
     index: int
 
 
-Action: TypeAlias = Ask | Cancel
+Action: TypeAlias = RequestChunk | CancelRequest
 
 
-class ReleaseSpread:
+class ChunkScheduler:
     """What one host knows of one release on its way, and what it does next."""
 
     def __init__(
@@ -79,21 +81,21 @@
         self._started_at = now
         self._progress_at = now
         self._fetches: dict[int, list[Fetch]] = {}
-        self._holdings = Holdings(len(sizes))
+        self._holdings = ChunkAvailability(len(sizes))
         self._topology: Topology | None = None
-        self._at_origin = ColumnTurns()
-        self._in_place = ColumnTurns()
+        self._at_origin = ColumnFailover()
+        self._in_place = ColumnFailover()
         self._left: dict[HostId, Incarnation] = {}
         self._platform = PlatformSources(rules, rng)
-        self._pace = LinkPace(rules.in_flight_total * self._chunk_s, rules.in_flight_total)
+        self._pace = LinkPacer(rules.in_flight_total * self._chunk_s, rules.in_flight_total)
 
     @property
     def chunk_count(self) -> int:
         """How many chunks the release has."""
-        return len(self._holdings.local)
+        return len(self._holdings.local_holders)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every chunk is held."""
         return not self._holdings.missing
 
@@ -110,7 +112,7 @@
     @property
     def bad_sources(self) -> list[str]:
         """The sources that gave too many corrupt chunks."""
-        return sorted([*self._left, *self._platform.bad])
+        return sorted([*self._left, *self._platform.corrupt_sources])
 
     @property
     def patience_s(self) -> float:
@@ -118,11 +120,11 @@
         columns = len(self._topology.columns) if self._topology else 1
         return self.rules.patience_s + 2 * columns * self._origin_chunk_s
 
-    def missing_everywhere(self, now: float) -> list[int]:
+    def unavailable_chunks(self, now: float) -> list[int]:
         """Return the chunks that nobody known has, once nothing has moved for a while."""
-        if self.complete or now - self._progress_at < self.rules.stall_s + self.patience_s:
+        if self.is_complete or now - self._progress_at < self.rules.stall_s + self.patience_s:
             return []
-        return sorted(set().union(*self._holdings.absent))
+        return sorted(set().union(*self._holdings.unavailable))
 
     @property
     def source_failures(self) -> int:
@@ -139,7 +141,7 @@
             self._holdings.set_columns(len(topology.columns))
         self._topology = topology
 
-    def link_up(self, host: HostId, place: Place, incarnation: Incarnation) -> None:
+    def add_neighbour(self, host: HostId, place: Place, incarnation: Incarnation) -> None:
         """Note a neighbour that can now be asked, unless it was left for its corrupt chunks.
 
         A process that was started anew begins with a clean record.
@@ -148,9 +150,9 @@
             return
         if self._left.get(host, incarnation) != incarnation:
             del self._left[host]
-        self.neighbours[host] = NeighbourState(place, incarnation, left=host in self._left)
+        self.neighbours[host] = NeighbourState(place, incarnation, is_excluded=host in self._left)
 
-    def link_down(self, host: HostId) -> None:
+    def remove_neighbour(self, host: HostId) -> None:
         """Forget a neighbour and whatever was asked of it."""
         state = self.neighbours.get(host)
         if state is None:
@@ -158,7 +160,9 @@
         self._take_back(host, state)
         del self.neighbours[host]
 
-    def have(self, host: HostId, indexes: Iterable[int], now: float, waiting: int = 0) -> None:
+    def record_held_chunks(
+        self, host: HostId, indexes: Iterable[int], now: float, upload_queue_length: int = 0
+    ) -> None:
         """Note chunks that a neighbour holds, and how many wait to be sent by it.
 
         Indexes out of range are dropped.
@@ -166,45 +170,45 @@
         state = self.neighbours.get(host)
         if state is None:
             return
-        state.told = True
-        state.waiting = waiting
-        state.heard_at = now
+        state.has_reported = True
+        state.upload_queue_length = upload_queue_length
+        state.last_received_at = now
         for index in indexes:
             if not 0 <= index < self.chunk_count or index in state.chunks:
                 continue
             state.chunks.add(index)
-            if not state.left:
+            if not state.is_excluded:
                 self._note_shown(index, state, now)
 
-    def progress(self, source: Source, index: int, now: float) -> None:
+    def record_progress(self, source: Source, index: int, now: float) -> None:
         """Note bytes of a chunk that is still on its way."""
         for fetch in self._fetches.get(index, ()):
             if fetch.source == source:
-                fetch.moved_at = now
+                fetch.progress_at = now
         if isinstance(source, Neighbour) and source.host in self.neighbours:
-            self.neighbours[source.host].heard_at = now
+            self.neighbours[source.host].last_received_at = now
 
-    def arrived(self, source: Source | None, index: int, now: float) -> list[Cancel]:
+    def record_arrival(self, source: Source | None, index: int, now: float) -> list[CancelRequest]:
         """Note a chunk whose hash holds; return what else is to be given up for it."""
         fetches = self._fetches.pop(index, [])
         for fetch in fetches:
             self._forget_asked(fetch.source, index)
             if fetch.source == source:
-                self._pace.note_arrival(fetch.as_paced(), now)
+                self._pace.record_arrival(fetch.to_in_flight(), now)
             else:
-                self._pace.note_overtaken(fetch.as_paced(), now)
-        self._holdings.hold(index)
+                self._pace.record_superseded(fetch.to_in_flight(), now)
+        self._holdings.mark_held(index)
         for state in self.neighbours.values():
-            state.offers.discard(index)
+            state.requestable.discard(index)
         self._progress_at = now
         match source:
             case Neighbour(host) if host in self.neighbours:
-                self.neighbours[host].avoid_until = 0.0
+                self.neighbours[host].backoff_until = 0.0
             case Origin() | Store():
-                self._platform.note_given(source)
-        return [Cancel(fetch.source, index) for fetch in fetches if fetch.source != source]
+                self._platform.record_success(source)
+        return [CancelRequest(fetch.source, index) for fetch in fetches if fetch.source != source]
 
-    def failed(self, source: Source, index: int, failure: FetchFailure, now: float) -> None:
+    def record_failure(self, source: Source, index: int, failure: FetchFailure, now: float) -> None:
         """Note that a source did not give a chunk, and why."""
         self._drop_fetch(index, source)
         if failure is FetchFailure.STALLED:
@@ -215,17 +219,17 @@
             case Neighbour(host) if host in self.neighbours:
                 self._note_neighbour_failed(host, index, failure, now)
             case Origin() | Store():
-                self._platform.note_failed(source, corrupt, now)
+                self._platform.record_failure(source, corrupt, now)
                 if not corrupt:
                     # It stands still for the origin's sake, not for that of the hosts before this
                     # one: else all ranks of a column go on at once when the origin is back.
-                    self._at_origin.note_moved(self._holdings.column(index), now)
+                    self._at_origin.record_progress(self._holdings.column_of(index), now)
 
     # ---- decisions ------------------------------------------------------------------------
 
     def decide(self, now: float) -> list[Action]:
         """Return what to ask for now, and note it as asked."""
-        if self.complete or self._topology is None:
+        if self.is_complete or self._topology is None:
             return []
         actions: list[Action] = list(self._find_stalls(now))
         actions += self._import_chunks(now)
@@ -243,8 +247,8 @@
         for index, fetches in list(self._fetches.items()):
             for fetch in list(fetches):
                 if now > self._due_at(fetch):
-                    self.failed(fetch.source, index, FetchFailure.STALLED, now)
-                    yield Cancel(fetch.source, index)
+                    self.record_failure(fetch.source, index, FetchFailure.STALLED, now)
+                    yield CancelRequest(fetch.source, index)
 
     def _due_at(self, fetch: Fetch) -> float:
         """Return when a chunk counts as stalled.
@@ -252,10 +256,10 @@
         Any word from a neighbour is a sign of life, and what it has to send before is allowed for.
         """
         if not isinstance(fetch.source, Neighbour):
-            return fetch.moved_at + 4 * max(self.rules.stall_s, self.patience_s)
+            return fetch.progress_at + 4 * max(self.rules.stall_s, self.patience_s)
         state = self.neighbours[fetch.source.host]
-        before = state.waiting + len(state.asked)
-        alive_at = max(fetch.moved_at, state.heard_at)
+        before = state.upload_queue_length + len(state.requested)
+        alive_at = max(fetch.progress_at, state.last_received_at)
         return alive_at + self.rules.stall_s + 2 * before * self._chunk_s
 
     def _import_chunks(self, now: float) -> Iterator[Action]:
@@ -276,12 +280,14 @@
         if now - self._started_at >= self.rules.patience_s:
             return True
         wished = self._topology.neighbours
-        return all(host in self.neighbours and self.neighbours[host].told for host in wished)
+        return all(
+            host in self.neighbours and self.neighbours[host].has_reported for host in wished
+        )
 
     def _import_from_places(self, column: int, ranks: ColumnRanks, now: float) -> Iterator[Action]:
-        if not self._in_place.has_turn(column, ranks.in_place, self.patience_s, now):
+        if not self._in_place.may_act(column, ranks.in_place, self.patience_s, now):
             return
-        for index in sorted(self._holdings.elsewhere[column] - self._fetches.keys()):
+        for index in sorted(self._holdings.remote_only[column] - self._fetches.keys()):
             host = self._pick_holder(index, now, local=False)
             if host is not None:
                 yield self._ask(Neighbour(host), index, now)
@@ -296,7 +302,7 @@
             return
         assert self._topology is not None
         for index in sorted(self.missing - self._fetches.keys()):
-            if self._topology.columns[self._holdings.column(index)].in_place != STAND_IN_RANK:
+            if self._topology.columns[self._holdings.column_of(index)].in_place != BACKUP_RANK:
                 continue
             if not self._has_room(now):
                 return
@@ -306,7 +312,7 @@
 
     def _is_slow(self, host: HostId) -> bool:
         state = self.neighbours[host]
-        return state.place == self._place and self._pace.is_slow(Neighbour(host))
+        return state.place == self._place and self._pace.is_source_slow(Neighbour(host))
 
     def _near_holders(self, index: int) -> set[HostId]:
         return {
@@ -317,11 +323,11 @@
 
     def _import_from_origin(self, column: int, ranks: ColumnRanks, now: float) -> Iterator[Action]:
         rank = ranks.at_origin
-        if not self._at_origin.has_turn(column, rank, self.patience_s, now):
+        if not self._at_origin.may_act(column, rank, self.patience_s, now):
             return
         if any(self._is_source_fetch(index) for index in self._column_fetches(column)):
             return
-        absent = self._holdings.absent[column] - self._fetches.keys()
+        absent = self._holdings.unavailable[column] - self._fetches.keys()
         source = self._platform.pick(now)
         if absent and source is not None:
             yield self._ask(source, self._first_absent(absent, rank or 0), now)
@@ -358,24 +364,24 @@
             yield request
 
     @property
-    def _on_their_way(self) -> list[OnItsWay]:
-        return [fetches[0].as_paced() for fetches in self._fetches.values()]
+    def _on_their_way(self) -> list[ChunkInFlight]:
+        return [fetches[0].to_in_flight() for fetches in self._fetches.values()]
 
     def _has_room(self, now: float) -> bool:
         """Return whether one more chunk may be on its way over the link."""
         fetches = self._on_their_way
-        load = self._pace.count(fetches, now) + self._source_fetches
-        return load < self._pace.limit_now(fetches, now)
+        load = self._pace.count_using_link(fetches, now) + self._source_fetches
+        return load < self._pace.current_limit(fetches, now)
 
     @property
     def _source_fetches(self) -> int:
         """Chunks on their way from the origin: others wait for them, so they count twice."""
         return sum(1 for index in self._fetches if self._is_source_fetch(index))
 
-    def _next_request(self, now: float) -> Ask | None:
-        local = self._holdings.local
+    def _next_request(self, now: float) -> RequestChunk | None:
+        local = self._holdings.local_holders
         for host in self._by_load(now):
-            offered = self.neighbours[host].offers.sample(self._rng, RAREST_OF)
+            offered = self.neighbours[host].requestable.sample(self._rng, RARITY_SAMPLE_SIZE)
             if offered:
                 rarest = min(offered, key=lambda each: (local[each], self._rng.random()))
                 return self._ask(Neighbour(host), rarest, now)
@@ -384,28 +390,28 @@
     def _by_load(self, now: float) -> list[HostId]:
         """Return the neighbours in this place that may be asked, those with least to send first."""
         usable = [
-            (state.waiting + len(state.asked), self._rng.random(), host)
+            (state.upload_queue_length + len(state.requested), self._rng.random(), host)
             for host, state in self.neighbours.items()
             if state.place == self._place and self._may_ask(state, now)
         ]
         return [host for _, _, host in sorted(usable)]
 
     def _may_ask(self, state: NeighbourState, now: float) -> bool:
-        room = len(state.asked) < self.rules.in_flight
-        return room and not state.left and state.avoid_until <= now
+        room = len(state.requested) < self.rules.in_flight
+        return room and not state.is_excluded and state.backoff_until <= now
 
     def _ask_again(self, now: float) -> Iterator[Action]:
         """Ask a second source for chunks that take longer than most, when nothing else is on offer.
 
         Not over a link that is narrow: there the second copy only stands in the way of the first.
         """
-        if self._pace.is_narrow(self._on_their_way, now):
+        if self._pace.is_link_slow(self._on_their_way, now):
             return
         for index, fetches in sorted(self._fetches.items()):
             oldest = fetches[0]
             if len(fetches) >= SOURCES_PER_CHUNK or not isinstance(oldest.source, Neighbour):
                 continue
-            if now - oldest.asked_at < 2 * max(self._pace.fastest_s, self._pace.usual_s):
+            if now - oldest.requested_at < 2 * max(self._pace.fastest_s, self._pace.expected_s):
                 continue
             source = self._second_source(index, oldest, now)
             if source is not None:
@@ -417,9 +423,9 @@
         if host is not None:
             return Neighbour(host)
         assert self._topology is not None
-        ranks = self._topology.columns[self._holdings.column(index)]
-        late_s = now - oldest.asked_at
-        if ranks.in_place is None or late_s < (ranks.in_place + 2) * LATE_TURN_S:
+        ranks = self._topology.columns[self._holdings.column_of(index)]
+        late_s = now - oldest.requested_at
+        if ranks.in_place is None or late_s < (ranks.in_place + 2) * DUPLICATE_STAGGER_S:
             return None
         host = self._pick_holder(index, now, local=False)
         return Neighbour(host) if host is not None else self._platform.pick(now)
@@ -439,7 +445,7 @@
         """Return the holder of a chunk with least to send, in this place or in others."""
         asked_already = {fetch.source for fetch in self._fetches.get(index, ())}
         holders = [
-            (state.waiting + len(state.asked), self._rng.random(), host)
+            (state.upload_queue_length + len(state.requested), self._rng.random(), host)
             for host, state in self.neighbours.items()
             if index in state.chunks
             and (state.place == self._place) is local
@@ -450,13 +456,13 @@
 
     # ---- book-keeping ---------------------------------------------------------------------
 
-    def _ask(self, source: Source, index: int, now: float, endgame: bool = False) -> Ask:
+    def _ask(self, source: Source, index: int, now: float, endgame: bool = False) -> RequestChunk:
         self._fetches.setdefault(index, []).append(Fetch(source, now, now))
         for state in self.neighbours.values():
-            state.offers.discard(index)
+            state.requestable.discard(index)
         if isinstance(source, Neighbour):
-            self.neighbours[source.host].asked.add(index)
-        return Ask(source, index, endgame)
+            self.neighbours[source.host].requested.add(index)
+        return RequestChunk(source, index, endgame)
 
     def _drop_fetch(self, index: int, source: Source) -> None:
         kept = [fetch for fetch in self._fetches.get(index, ()) if fetch.source != source]
@@ -469,25 +475,25 @@
     def _offer_again(self, index: int) -> None:
         if index in self.missing:
             for state in self.neighbours.values():
-                if index in state.chunks and not state.left:
-                    state.offers.add(index)
+                if index in state.chunks and not state.is_excluded:
+                    state.requestable.add(index)
 
     def _forget_asked(self, source: Source, index: int) -> None:
         if isinstance(source, Neighbour) and source.host in self.neighbours:
-            self.neighbours[source.host].asked.discard(index)
+            self.neighbours[source.host].requested.discard(index)
 
     def _note_shown(self, index: int, state: NeighbourState, now: float) -> None:
         """Count a chunk that a neighbour shows, and note whether its column moves by it."""
         holdings, local = self._holdings, state.place == self._place
         if index in holdings.missing:
             if index not in self._fetches:
-                state.offers.add(index)
-            if not holdings.is_shown(index):
+                state.requestable.add(index)
+            if not holdings.is_available(index):
                 self._progress_at = now
-                self._at_origin.note_moved(holdings.column(index), now)
-            if local and not holdings.local[index]:
-                self._in_place.note_moved(holdings.column(index), now)
-        holdings.show(index, local)
+                self._at_origin.record_progress(holdings.column_of(index), now)
+            if local and not holdings.local_holders[index]:
+                self._in_place.record_progress(holdings.column_of(index), now)
+        holdings.add_holder(index, local)
 
     def _note_neighbour_failed(
         self, host: HostId, index: int, failure: FetchFailure, now: float
@@ -495,7 +501,7 @@
         state = self.neighbours[host]
         match failure:
             case FetchFailure.STALLED | FetchFailure.BUSY:
-                state.avoid_until = now + self.rules.stall_s
+                state.backoff_until = now + self.rules.stall_s
             case FetchFailure.REFUSED:
                 self._withdraw_offer(state, index)
             case FetchFailure.CORRUPT:
@@ -507,26 +513,26 @@
         """Forget that a neighbour has a chunk."""
         if index in state.chunks:
             state.chunks.discard(index)
-            state.offers.discard(index)
-            if not state.left:
-                self._holdings.hide(index, state.place == self._place)
+            state.requestable.discard(index)
+            if not state.is_excluded:
+                self._holdings.remove_holder(index, state.place == self._place)
 
     def _leave(self, host: HostId, state: NeighbourState) -> None:
         """Ask nothing more of a neighbour, and count on nothing that it shows."""
         self._take_back(host, state)
-        state.left = True
+        state.is_excluded = True
         self._left[host] = state.incarnation
 
     def _take_back(self, host: HostId, state: NeighbourState) -> None:
-        for index in list(state.asked):
+        for index in list(state.requested):
             self._drop_fetch(index, Neighbour(host))
-        if not state.left:
+        if not state.is_excluded:
             for index in state.chunks:
-                self._holdings.hide(index, state.place == self._place)
-        state.offers.clear()
+                self._holdings.remove_holder(index, state.place == self._place)
+        state.requestable.clear()
 
     def _column_fetches(self, column: int) -> list[int]:
-        return [index for index in self._fetches if self._holdings.column(index) == column]
+        return [index for index in self._fetches if self._holdings.column_of(index) == column]
 
     def _is_source_fetch(self, index: int) -> bool:
         return any(not isinstance(fetch.source, Neighbour) for fetch in self._fetches[index])
--- a/src/lacewinggw/decisions/sources.py
+++ b/src/lacewinggw/decisions/chunksources.py
@@ -6,8 +6,8 @@
 from enum import Enum
 from typing import TypeAlias
 
-from lacewinggw.decisions.holdings import ChunkSet
-from lacewinggw.decisions.linkpace import OnItsWay
+from lacewinggw.decisions.chunkavailability import ChunkSet
+from lacewinggw.decisions.linkpacing import ChunkInFlight
 from lacewinggw.ids import HostId, Incarnation, Place
 
 
@@ -30,11 +30,11 @@
 
 Source: TypeAlias = Neighbour | Origin | Store
 
-DOUBLINGS = 10  # of the back-off, before its limit
+MAX_BACKOFF_DOUBLINGS = 10  # of the back-off, before its limit
 
 ORIGIN = Origin()
 STORE = Store()
-NAMES: Mapping[Source, str] = {ORIGIN: "origin", STORE: "weight-store"}
+SOURCE_NAMES: Mapping[Source, str] = {ORIGIN: "origin", STORE: "weight-store"}
 
 
 class FetchFailure(Enum):
@@ -57,15 +57,15 @@
 
     place: Place
     incarnation: Incarnation
-    left: bool = False
+    is_excluded: bool = False
     chunks: set[int] = field(default_factory=set)
-    offers: ChunkSet = field(default_factory=ChunkSet)
-    asked: set[int] = field(default_factory=set)
+    requestable: ChunkSet = field(default_factory=ChunkSet)
+    requested: set[int] = field(default_factory=set)
     corrupt: int = 0
-    told: bool = False
-    waiting: int = 0
-    heard_at: float = 0.0
-    avoid_until: float = 0.0
+    has_reported: bool = False
+    upload_queue_length: int = 0
+    last_received_at: float = 0.0
+    backoff_until: float = 0.0
 
 
 @dataclass
@@ -73,7 +73,7 @@
     """How the origin or the weight store has been doing."""
 
     failures: int = 0
-    avoid_until: float = 0.0
+    backoff_until: float = 0.0
     corrupt: int = 0
 
 
@@ -82,12 +82,12 @@
     """One chunk on its way from one source."""
 
     source: Source
-    asked_at: float
-    moved_at: float
+    requested_at: float
+    progress_at: float
 
-    def as_paced(self) -> OnItsWay:
+    def to_in_flight(self) -> ChunkInFlight:
         """Return what the pace of the link needs of it."""
-        return OnItsWay(self.source, self.asked_at)
+        return ChunkInFlight(self.source, self.requested_at)
 
 
 @dataclass(frozen=True)
@@ -128,26 +128,28 @@
         return sum(state.failures for state in self._states.values())
 
     @property
-    def bad(self) -> list[str]:
+    def corrupt_sources(self) -> list[str]:
         """Those that gave too many corrupt chunks."""
         limit = self._rules.corrupt_limit
-        return [NAMES[source] for source, state in self._states.items() if state.corrupt >= limit]
+        return [
+            SOURCE_NAMES[source] for source, state in self._states.items() if state.corrupt >= limit
+        ]
 
     def pick(self, now: float) -> Source | None:
         """Return the one to ask: the origin unless it failed lately; None when both did."""
-        usable = (source for source, state in self._states.items() if state.avoid_until <= now)
+        usable = (source for source, state in self._states.items() if state.backoff_until <= now)
         return next(usable, None)
 
-    def note_given(self, source: Source) -> None:
+    def record_success(self, source: Source) -> None:
         """Note a chunk that one of them gave."""
         self._states[source].failures = 0
 
-    def note_failed(self, source: Source, corrupt: bool, now: float) -> None:
+    def record_failure(self, source: Source, corrupt: bool, now: float) -> None:
         """Leave one of them alone for a while, longer with each failure in a row."""
         state = self._states[source]
         state.failures += 1
         state.corrupt += int(corrupt)
         rules = self._rules
-        backoff_s = rules.source_backoff_s * 2 ** min(state.failures - 1, DOUBLINGS)
+        backoff_s = rules.source_backoff_s * 2 ** min(state.failures - 1, MAX_BACKOFF_DOUBLINGS)
         backoff_s = min(backoff_s, rules.source_backoff_limit_s)
-        state.avoid_until = now + backoff_s * (0.5 + self._rng.random())
+        state.backoff_until = now + backoff_s * (0.5 + self._rng.random())
--- a/src/lacewinggw/decisions/turns.py
+++ b/src/lacewinggw/decisions/columnfailover.py
@@ -4,7 +4,7 @@
 
 
 @dataclass
-class ColumnTurns:
+class ColumnFailover:
     """When each column last moved; times in seconds of the loop's clock.
 
     turns = ColumnTurns()
@@ -18,12 +18,12 @@
         """Begin with columns of which nothing has come."""
         self._moved_at = [now] * columns
 
-    def note_moved(self, column: int, now: float) -> None:
+    def record_progress(self, column: int, now: float) -> None:
         """Note that a chunk of a column came to where it was missing."""
         if self._moved_at:
             self._moved_at[column] = now
 
-    def has_turn(self, column: int, rank: int | None, patience_s: float, now: float) -> bool:
+    def may_act(self, column: int, rank: int | None, patience_s: float, now: float) -> bool:
         """Return whether the host of a rank is to act: each waits once more for the one before."""
         if rank is None:
             return False
--- a/src/lacewinggw/decisions/commands.py
+++ b/src/lacewinggw/decisions/commands.py
@@ -78,13 +78,13 @@
             return f"{len(content.assignments)} hosts added, {len(content.released or [])} released"
 
 
-def accepted_before(state: FleetState, command_id: str) -> LogEntry | None:
+def find_accepted_entry(state: FleetState, command_id: str) -> LogEntry | None:
     """Return the entry of a command that was accepted already."""
     revision = state.revision_of_command(command_id)
     return state.entry_at(revision) if revision is not None else None
 
 
-def check_remembered(
+def check_within_history(
     state: FleetState, command_id: str, read_revision: int, repeated: bool
 ) -> None:
     """Refuse a command that is too old to tell whether it was accepted before.
@@ -92,10 +92,10 @@
     One that may have been given before raises `AcceptanceUnknown`: it may be in force. One that is
     given for the first time raises `ConfigurationConflict`: what it is about may have moved.
     """
-    if read_revision >= state.remembers_after:
+    if read_revision >= state.history_base_revision:
         return
     based = f"command {command_id} was based on revision {read_revision}"
-    known = f"only revisions after {state.remembers_after} are remembered"
+    known = f"only revisions after {state.history_base_revision} are remembered"
     if repeated:
         raise AcceptanceUnknown(
             f"{based}; {known}, so it may have been accepted long ago",
@@ -124,7 +124,7 @@
         _check_placement_unmoved(state, content, read_revision)
         return
     subject = subject_of(content)
-    moved = state.changed_at(subject)
+    moved = state.last_changed_revision(subject)
     if moved <= read_revision:
         return
     entry = state.entry_at(moved)
--- a/src/lacewinggw/decisions/lifecycle.py
+++ b/src/lacewinggw/decisions/lifecycle.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class DesiredState:
     """One host's part in the configuration.
 
     `digest` is what it is to serve, empty for a plain service. `next_digest` is what it is to have
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Progress:
+class StagingProgress:
     """How far one release has come on its way to the target.
 
     `held` counts its verified chunks at this agent, `staged` those of them handed to the target;
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Observed:
+class ObservedState:
     """What the target reports, and how far the release that is to come in next is.
 
     `progress` is that of `incoming_digest` for the same wanted part.
@@ -52,13 +52,13 @@
     reachable: bool
     active: str = ""
     loaded: frozenset[str] = frozenset()
-    progress: Progress = Progress()
+    progress: StagingProgress = StagingProgress()
     role: str = ANY_ROLE
     adapters: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
-class Wait:
+class WaitForChange:
     """Nothing can be done until something changes; `reason` tells what.
 
     `serving` here and below tells that the target meanwhile runs what it is to serve.
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True)
-class Adapt:
+class Reconfigure:
     """End the requests in progress, then order the role and adapters that differ.
 
     `load` and `drop` name adapters; `role` is empty when it is as wanted.
@@ -122,60 +122,60 @@
     """Nothing is wanted of this target: end its requests and offer it no more."""
 
 
-Step: TypeAlias = Wait | Stage | Load | Activate | Adapt | Serve | Unload | Retire
+Step: TypeAlias = WaitForChange | Stage | Load | Activate | Reconfigure | Serve | Unload | Retire
 
 
-def incoming_digest(wanted: Wanted | None, active: str, loaded: Collection[str]) -> str:
+def incoming_digest(desired: DesiredState | None, active: str, loaded: Collection[str]) -> str:
     """Return the digest that the target lacks, the one it is to serve first; empty if none."""
-    if wanted is None:
+    if desired is None:
         return ""
-    if wanted.digest and wanted.digest != active and wanted.digest not in loaded:
-        return wanted.digest
-    if wanted.next_digest and wanted.next_digest not in loaded:
-        return wanted.next_digest
+    if desired.digest and desired.digest != active and desired.digest not in loaded:
+        return desired.digest
+    if desired.next_digest and desired.next_digest not in loaded:
+        return desired.next_digest
     return ""
 
 
-def next_step(wanted: Wanted | None, observed: Observed) -> Step:
+def next_step(desired: DesiredState | None, observed: ObservedState) -> Step:
     """Return the next step from `observed` towards `wanted`.
 
     next_step(Wanted("desk", "", ""), Observed(reachable=True)) is Serve("").
     """
     if not observed.reachable:
-        return Wait("the target does not answer")
-    if wanted is None:
+        return WaitForChange("the target does not answer")
+    if desired is None:
         return Retire()
-    serving = observed.active == wanted.digest
-    if not serving and wanted.digest in observed.loaded:
-        return Activate(wanted.digest)
-    if wanted.digest and serving and not _is_adapted(wanted, observed):
-        return _adapt(wanted, observed)
-    surplus = observed.loaded - {wanted.digest, wanted.next_digest}
+    serving = observed.active == desired.digest
+    if not serving and desired.digest in observed.loaded:
+        return Activate(desired.digest)
+    if desired.digest and serving and not _is_adapted(desired, observed):
+        return _adapt(desired, observed)
+    surplus = observed.loaded - {desired.digest, desired.next_digest}
     if serving and surplus:
         return Unload(tuple(sorted(surplus)))
-    incoming = incoming_digest(wanted, observed.active, observed.loaded)
+    incoming = incoming_digest(desired, observed.active, observed.loaded)
     if not incoming:
-        return Serve(wanted.digest)
+        return Serve(desired.digest)
     return _bring_in(incoming, observed.progress, serving)
 
 
-def _is_adapted(wanted: Wanted, observed: Observed) -> bool:
+def _is_adapted(wanted: DesiredState, observed: ObservedState) -> bool:
     return (wanted.role, wanted.adapters) == (observed.role, observed.adapters)
 
 
-def _adapt(wanted: Wanted, observed: Observed) -> Adapt:
-    return Adapt(
+def _adapt(wanted: DesiredState, observed: ObservedState) -> Reconfigure:
+    return Reconfigure(
         wanted.role if wanted.role != observed.role else "",
         tuple(sorted(wanted.adapters - observed.adapters)),
         tuple(sorted(observed.adapters - wanted.adapters)),
     )
 
 
-def _bring_in(digest: str, progress: Progress, serving: bool) -> Step:
+def _bring_in(digest: str, progress: StagingProgress, serving: bool) -> Step:
     if progress.chunk_count == 0:
-        return Wait("the manifest is not here yet", serving)
+        return WaitForChange("the manifest is not here yet", serving)
     if progress.staged < progress.held:
         return Stage(digest, serving)
     if progress.staged == progress.chunk_count:
         return Load(digest, serving)
-    return Wait(f"{progress.held} of {progress.chunk_count} chunks are here", serving)
+    return WaitForChange(f"{progress.held} of {progress.chunk_count} chunks are here", serving)
--- a/src/lacewinggw/decisions/linkpace.py
+++ b/src/lacewinggw/decisions/linkpacing.py
@@ -11,20 +11,20 @@
 
 LATE_FACTOR = 3.0  # a chunk may meet a busy sender; over this it is the link or the source
 SLOW_FACTOR = 1.8  # a chunk usually shares the link with as many as may be on their way
-MEMORY = 0.2  # weight of a new chunk in the smoothed time of its source
+SMOOTHING_WEIGHT = 0.2  # weight of a new chunk in the smoothed time of its source
 PROBE_LIMIT = 2  # chunks while one source alone is waited for: the second tells link from source
 
 
 @dataclass(frozen=True)
-class OnItsWay:
+class ChunkInFlight:
     """A chunk that was asked of a source, in seconds of the loop's clock."""
 
     source: Hashable
-    asked_at: float
+    requested_at: float
 
 
 @dataclass
-class LinkPace:
+class LinkPacer:
     """What chunks that came tell of the link.
 
     `limit` chunks may be on their way over a link of the expected width, and each then takes
@@ -35,7 +35,7 @@
         pace.limit_now(on_their_way, now)
     """
 
-    usual_s: float
+    expected_s: float
     limit: int
     _times: dict[Hashable, float] = field(default_factory=dict)  # of a chunk, from each source
     _arrived_at: float = 0.0
@@ -45,51 +45,51 @@
         """How long a chunk takes from the quickest source; 0 before the first has come."""
         return min(self._times.values(), default=0.0)
 
-    def note_arrival(self, fetch: OnItsWay, now: float) -> None:
+    def record_arrival(self, fetch: ChunkInFlight, now: float) -> None:
         """Note that a chunk came."""
-        took_s = now - fetch.asked_at
+        took_s = now - fetch.requested_at
         known_s = self._times.get(fetch.source, took_s)
-        self._times[fetch.source] = known_s + MEMORY * (took_s - known_s)
+        self._times[fetch.source] = known_s + SMOOTHING_WEIGHT * (took_s - known_s)
         self._arrived_at = now
 
-    def note_overtaken(self, fetch: OnItsWay, now: float) -> None:
+    def record_superseded(self, fetch: ChunkInFlight, now: float) -> None:
         """Note that a chunk came from elsewhere before this source gave it."""
         known_s = self._times.get(fetch.source, 0.0)
-        self._times[fetch.source] = max(known_s, now - fetch.asked_at)
+        self._times[fetch.source] = max(known_s, now - fetch.requested_at)
 
-    def is_late(self, fetch: OnItsWay, now: float) -> bool:
+    def is_late(self, fetch: ChunkInFlight, now: float) -> bool:
         """Return whether a chunk takes longer than a busy sender explains."""
-        return now - fetch.asked_at > LATE_FACTOR * self.usual_s
+        return now - fetch.requested_at > LATE_FACTOR * self.expected_s
 
-    def is_slow(self, source: Hashable) -> bool:
+    def is_source_slow(self, source: Hashable) -> bool:
         """Return whether chunks of a source are usually late."""
-        return self._times.get(source, 0.0) > LATE_FACTOR * self.usual_s
+        return self._times.get(source, 0.0) > LATE_FACTOR * self.expected_s
 
-    def limit_now(self, fetches: Collection[OnItsWay], now: float) -> int:
+    def current_limit(self, fetches: Collection[ChunkInFlight], now: float) -> int:
         """Return how many chunks may be on their way, late ones of slow sources left out."""
         if self._is_quiet(fetches, now):
             return PROBE_LIMIT if len(_sources(fetches)) == 1 else 1
-        if self.fastest_s <= SLOW_FACTOR * self.usual_s:
+        if self.fastest_s <= SLOW_FACTOR * self.expected_s:
             return self.limit
-        return max(1, round(self.limit * self.usual_s / self.fastest_s))
+        return max(1, round(self.limit * self.expected_s / self.fastest_s))
 
-    def is_narrow(self, fetches: Collection[OnItsWay], now: float) -> bool:
+    def is_link_slow(self, fetches: Collection[ChunkInFlight], now: float) -> bool:
         """Return whether the link is to blame for what is late, not one source."""
         if self._is_quiet(fetches, now) and len(_sources(fetches)) > 1:
             return True
-        return self.fastest_s > SLOW_FACTOR * self.usual_s
+        return self.fastest_s > SLOW_FACTOR * self.expected_s
 
-    def count(self, fetches: Collection[OnItsWay], now: float) -> int:
+    def count_using_link(self, fetches: Collection[ChunkInFlight], now: float) -> int:
         """Return how many chunks fill the link: late ones do not while others come as usual."""
         if self._is_quiet(fetches, now):
             return len(fetches)
         return sum(not self.is_late(fetch, now) for fetch in fetches)
 
-    def _is_quiet(self, fetches: Collection[OnItsWay], now: float) -> bool:
+    def _is_quiet(self, fetches: Collection[ChunkInFlight], now: float) -> bool:
         """Return whether nothing came since the last chunk that is late by now was asked for."""
-        newest_at = max((fetch.asked_at for fetch in fetches), default=now)
-        return now - max(newest_at, self._arrived_at) > LATE_FACTOR * self.usual_s
+        newest_at = max((fetch.requested_at for fetch in fetches), default=now)
+        return now - max(newest_at, self._arrived_at) > LATE_FACTOR * self.expected_s
 
 
-def _sources(fetches: Collection[OnItsWay]) -> set[Hashable]:
+def _sources(fetches: Collection[ChunkInFlight]) -> set[Hashable]:
     return {fetch.source for fetch in fetches}
--- a/src/lacewinggw/decisions/locality.py
+++ b/src/lacewinggw/decisions/locality.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from lacewinggw.decisions.pollers import ranked
+from lacewinggw.decisions.peerselection import rendezvous_order
 from lacewinggw.ids import Address, HostId, Place
 
 MIN_NEAR_ENTRIES = 2  # entries of the caller's own place that are enough without others
@@ -54,6 +54,7 @@
     for other in set(agents.values()) - {place}:
         hosts = (host for host, where in agents.items() if where == other)
         watched.update(
-            HostId(host) for host in ranked(f"watched by {me}", hosts)[:AGENTS_PER_FAR_PLACE]
+            HostId(host)
+            for host in rendezvous_order(f"watched by {me}", hosts)[:AGENTS_PER_FAR_PLACE]
         )
     return watched
--- a/src/lacewinggw/decisions/pollers.py
+++ b/src/lacewinggw/decisions/peerselection.py
@@ -10,7 +10,7 @@
 import xxhash
 
 READERS_PER_PLACE = 2
-NEIGHBOURS = 4
+UPSTREAM_COUNT = 4
 
 
 @dataclass(frozen=True)
@@ -22,29 +22,29 @@
     address: str
 
 
-def weight(purpose: str, host: str) -> int:
+def rendezvous_weight(purpose: str, host: str) -> int:
     """Return the rendezvous weight of a host for a purpose."""
     return xxhash.xxh3_64_intdigest(f"{purpose}\0{host}".encode())
 
 
-def ranked(purpose: str, hosts: Iterable[str]) -> list[str]:
+def rendezvous_order(purpose: str, hosts: Iterable[str]) -> list[str]:
     """Return hosts in the order in which they are to act for a purpose."""
-    return sorted(hosts, key=lambda host: (-weight(purpose, host), host))
+    return sorted(hosts, key=lambda host: (-rendezvous_weight(purpose, host), host))
 
 
-def rank_of(purpose: str, host: str, hosts: Iterable[str]) -> int:
+def rendezvous_rank(purpose: str, host: str, hosts: Iterable[str]) -> int:
     """Return how many of `hosts` come before `host` for a purpose."""
-    own = (-weight(purpose, host), host)
-    return sum(1 for each in hosts if (-weight(purpose, each), each) < own)
+    own = (-rendezvous_weight(purpose, host), host)
+    return sum(1 for each in hosts if (-rendezvous_weight(purpose, each), each) < own)
 
 
-def reads_store(host: str, place: str, entries: Sequence[Candidate]) -> bool:
+def is_log_reader(host: str, place: str, entries: Sequence[Candidate]) -> bool:
     """Return whether an entry is one of the few in its place that read the log's tail."""
     beside = [entry.host for entry in entries if entry.place == place and entry.host != host]
-    return rank_of("log-reader", host, beside) < READERS_PER_PLACE
+    return rendezvous_rank("log-reader", host, beside) < READERS_PER_PLACE
 
 
-def neighbours(host: str, entries: Sequence[Candidate]) -> list[Candidate]:
+def order_entry_upstreams(host: str, entries: Sequence[Candidate]) -> list[Candidate]:
     """Return all other entries, those to hear news from first.
 
     The first is the next on the ring of hosts, which alone would reach everyone; the others are
@@ -56,18 +56,18 @@
     successor = next((entry for entry in others if entry.host > host), others[0])
     drawn = sorted(
         (entry for entry in others if entry is not successor),
-        key=lambda entry: weight(f"news-for-{host}", entry.host),
+        key=lambda entry: rendezvous_weight(f"news-for-{host}", entry.host),
     )
     return [successor, *drawn]
 
 
-def upstream_entries(host: str, place: str, entries: Sequence[Candidate]) -> list[Candidate]:
+def order_agent_upstreams(host: str, place: str, entries: Sequence[Candidate]) -> list[Candidate]:
     """Return entries in the order in which an agent is to subscribe: one of its place first.
 
     The second is of another place where there is one, so that the loss of a place leaves news
     coming.
     """
-    order = sorted(entries, key=lambda entry: weight(f"news-for-{host}", entry.host))
+    order = sorted(entries, key=lambda entry: rendezvous_weight(f"news-for-{host}", entry.host))
     near = [entry for entry in order if entry.place == place]
     far = [entry for entry in order if entry.place != place]
     return [*near[:1], *far[:1], *near[1:], *far[1:]]
--- a/src/lacewinggw/decisions/placement.py
+++ b/src/lacewinggw/decisions/placement.py
@@ -11,21 +11,21 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from lacewinggw.decisions.pollers import weight
+from lacewinggw.decisions.peerselection import rendezvous_weight
 from lacewinggw.decisions.revisions import FleetState
 from lacewinggw.generated.messages.ttypes import Assignment, Place, Service, ServiceKind
 
-Queues: TypeAlias = dict[str, list[tuple[int, str]]]
+QueuesByPlace: TypeAlias = dict[str, list[tuple[int, str]]]
 
 
 @dataclass(frozen=True)
-class HostFact:
+class HostInfo:
     """What an entry knows of a target host; `service` is that of a plain target, else ""."""
 
     host: str
     place: str
     service: str = ""
-    leaving: bool = False
+    is_leaving: bool = False
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
 
 
 def plan_placement(
-    state: FleetState, hosts: Mapping[str, HostFact], lost: Collection[str] = ()
+    state: FleetState, hosts: Mapping[str, HostInfo], dead_hosts: Collection[str] = ()
 ) -> PlacementPlan:
     """Return what has to change so that every service has its declared replicas.
 
@@ -58,27 +58,29 @@
     left as it is placed: it may only be missing from a list that lags. Services first use the hosts
     they have; what they let go is there for the others.
     """
-    drafts = [_Draft(state, state.services[name], hosts, lost) for name in sorted(state.services)]
+    drafts = [
+        _Draft(state, state.services[name], hosts, dead_hosts) for name in sorted(state.services)
+    ]
     for draft in drafts:
         draft.reuse_own_hosts()
-    taken = {host for host in state.placed_hosts() if host not in lost}
+    taken = {host for host in state.placed_hosts() if host not in dead_hosts}
     taken.difference_update(host for draft in drafts for host in draft.let_go())
-    free = _free_hosts(state, hosts, lost, taken)
+    free = _free_hosts(state, hosts, dead_hosts, taken)
     for draft in drafts:
         draft.take_free_hosts(free)
     places = [place for draft in drafts if (place := draft.place()) is not None]
     return PlacementPlan(places, [each for draft in drafts for each in draft.shortfalls()])
 
 
-def is_whole(
-    state: FleetState, service: str, hosts: Mapping[str, HostFact], lost: Collection[str]
+def is_fully_placed(
+    state: FleetState, service: str, hosts: Mapping[str, HostInfo], dead_hosts: Collection[str]
 ) -> bool:
     """Return whether a service needs no change of placement, looking at its own hosts alone."""
     declared = state.services.get(service)
     if declared is None:
         return not state.hosts_of(service)
-    present = state.goals_of(service)
-    if any(_is_unusable(state, hosts, lost, host) for host in present):
+    present = state.final_releases_of(service)
+    if any(_is_unusable(state, hosts, dead_hosts, host) for host in present):
         return False
     return Counter(present.values()) == Counter(_wanted_replicas(declared))
 
@@ -90,7 +92,7 @@
         self,
         state: FleetState,
         service: Service,
-        hosts: Mapping[str, HostFact],
+        hosts: Mapping[str, HostInfo],
         lost: Collection[str],
     ) -> None:
         self._service = service
@@ -98,7 +100,7 @@
         self._lost = lost
         self._wanted = _wanted_replicas(service)
         self._current = state.hosts_of(service.name)
-        self._present = state.goals_of(service.name)
+        self._present = state.final_releases_of(service.name)
         self._unusable = {host for host in self._present if _is_unusable(state, hosts, lost, host)}
         staying = {host: r for host, r in self._present.items() if host not in self._unusable}
         self._assigned = _choose_kept(service.name, staying, self._wanted, hosts)
@@ -179,19 +181,19 @@
 
 
 def _is_unusable(
-    state: FleetState, hosts: Mapping[str, HostFact], lost: Collection[str], host: str
+    state: FleetState, hosts: Mapping[str, HostInfo], lost: Collection[str], host: str
 ) -> bool:
     if host in lost or host in state.draining:
         return True
     fact = hosts.get(host)
-    return fact is not None and fact.leaving
+    return fact is not None and fact.is_leaving
 
 
 def _choose_kept(
     service: str,
     staying: Mapping[str, str],
     wanted: Mapping[str, int],
-    hosts: Mapping[str, HostFact],
+    hosts: Mapping[str, HostInfo],
 ) -> dict[str, str]:
     """Keep hosts that serve what is wanted; where there are too many, those that spread best."""
     kept: dict[str, str] = {}
@@ -207,30 +209,34 @@
 
 def _free_hosts(
     state: FleetState,
-    hosts: Mapping[str, HostFact],
+    hosts: Mapping[str, HostInfo],
     lost: Collection[str],
     taken: Collection[str],
 ) -> dict[str, set[str]]:
     """Return the listed hosts that serve nothing and could, by the service of plain targets."""
     free: dict[str, set[str]] = {}
     for host, fact in hosts.items():
-        usable = not fact.leaving and host not in state.draining and host not in lost
+        usable = not fact.is_leaving and host not in state.draining and host not in lost
         if usable and host not in taken:
             free.setdefault(fact.service, set()).add(host)
     return free
 
 
-def _queues_by_place(service: str, pool: Iterable[str], hosts: Mapping[str, HostFact]) -> Queues:
+def _queues_by_place(
+    service: str, pool: Iterable[str], hosts: Mapping[str, HostInfo]
+) -> QueuesByPlace:
     """Return the hosts of a pool by place, with their weights, the first to be taken last."""
-    queues: Queues = {}
+    queues: QueuesByPlace = {}
     for host in pool:
-        queues.setdefault(_place_of(hosts, host), []).append((weight(service, host), host))
+        queues.setdefault(_place_of(hosts, host), []).append(
+            (rendezvous_weight(service, host), host)
+        )
     for queue in queues.values():
         queue.sort(reverse=True)
     return queues
 
 
-def _best_place(queues: Queues, of_release: Counter[str], of_service: Counter[str]) -> str:
+def _best_place(queues: QueuesByPlace, of_release: Counter[str], of_service: Counter[str]) -> str:
     """Return the place with a host to take that has the fewest of a release, then of a service."""
     return min(
         (place for place, queue in queues.items() if queue),
@@ -243,6 +249,6 @@
     return sorted(host for host, each in present.items() if each == release and host in lost)
 
 
-def _place_of(hosts: Mapping[str, HostFact], host: str) -> str:
+def _place_of(hosts: Mapping[str, HostInfo], host: str) -> str:
     fact = hosts.get(host)
     return fact.place if fact is not None else ""
--- a/src/lacewinggw/decisions/revisions.py
+++ b/src/lacewinggw/decisions/revisions.py
@@ -90,12 +90,12 @@
             return Subject("placement", content.service_name)
 
 
-def is_placement(entry: LogEntry) -> bool:
+def is_placement_only(entry: LogEntry) -> bool:
     """Return whether an entry only places, as entries do by themselves."""
     return all(change.place is not None for change in entry.changes)
 
 
-def moves_placements(entries: Sequence[LogEntry]) -> bool:
+def may_change_placements(entries: Sequence[LogEntry]) -> bool:
     """Return whether entries may change which hosts serve what; none stand for a whole state."""
     contents = (content_of(change) for entry in entries for change in entry.changes)
     return not entries or any(
@@ -112,7 +112,7 @@
     )
 
 
-def for_history(entry: LogEntry) -> LogEntry:
+def to_history_entry(entry: LogEntry) -> LogEntry:
     """Return an entry without its assignments, which would make the history large."""
     if not any(change.place is not None for change in entry.changes):
         return entry
@@ -135,7 +135,7 @@
     return Change(place=Place(place.service_name, [], place.cause, []))
 
 
-def revised(service: Service, revision: int) -> Service:
+def with_revision(service: Service, revision: int) -> Service:
     """Return a copy of a declaration that bears the revision it was accepted at."""
     return Service(
         service.name,
@@ -203,10 +203,10 @@
         for change in entry.changes:
             self._apply_content(content_of(change), entry.revision)
         self.revision = entry.revision
-        self._remember(for_history(entry))
+        self._remember(to_history_entry(entry))
 
     @property
-    def remembers_after(self) -> int:
+    def history_base_revision(self) -> int:
         """The revision after which every command is remembered."""
         return self.revision - len(self.history)
 
@@ -216,10 +216,10 @@
 
     def entry_at(self, revision: int) -> LogEntry | None:
         """Return a remembered entry, without its assignments."""
-        index = revision - self.remembers_after - 1
+        index = revision - self.history_base_revision - 1
         return self.history[index] if 0 <= index < len(self.history) else None
 
-    def changed_at(self, subject: Subject) -> int:
+    def last_changed_revision(self, subject: Subject) -> int:
         """Return the last remembered revision that changed a subject, 0 for none."""
         return self._changed.get(subject, 0)
 
@@ -235,7 +235,7 @@
         """Return the hosts of a service that are to change over, and to which release."""
         return self.upcoming.get(service, {})
 
-    def goals_of(self, service: str) -> Assignments:
+    def final_releases_of(self, service: str) -> Assignments:
         """Return the hosts of a service and the release each comes to in the end."""
         return {**self.hosts_of(service), **self.next_releases_of(service)}
 
@@ -255,7 +255,7 @@
             case WithdrawRelease():
                 self.releases.pop(content.release, None)
             case PutService():
-                self.services[content.declared.name] = revised(content.declared, revision)
+                self.services[content.declared.name] = with_revision(content.declared, revision)
             case RemoveService():
                 self.services.pop(content.service_name, None)
                 self._release_hosts(content.service_name, list(self.hosts_of(content.service_name)))
--- a/src/lacewinggw/decisions/readers.py
+++ b/src/lacewinggw/decisions/routereaders.py
@@ -11,31 +11,31 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lacewinggw.decisions.pollers import weight
+from lacewinggw.decisions.peerselection import rendezvous_weight
 from lacewinggw.ids import Address, HostId, Place
 
 PURPOSE = "routes reader"
 READERS_PER_PLACE = 2  # entries that read the routes, for one may be turned away by the store
-ASKED = 2  # entries: the reader of this place and one of another
+QUERIED_PEERS = 2  # entries: the reader of this place and one of another
 # Routes that are read, or vouched for, are not older than this: a wait of the reader and the time
 # in which it lets changes gather, 1.6 s, the time between two questions, 0.8 s, and a way of 0.2 s.
-VOUCHED_S = 2.6
+CONFIRMED_MAX_AGE_S = 2.6
 # A list of targets that another entry read so long ago, and that is the same here, is not read: all
 # entries would read it each 1.2 s, as heartbeats of targets change it. A leaving target is told at
 # once; should that fail, it is seen within this, a read, and well before the 2 s after which it may
 # get nothing.
-LIST_VOUCHED_S = 1.3
-READ_STEP_S = 0.2  # a read takes some ms; the last of 63 entries reads a second after the first
+LIST_CONFIRMED_MAX_AGE_S = 1.3
+READ_STAGGER_S = 0.2  # a read takes some ms; the last of 63 entries reads a second after the first
 # Half a second is enough for 50 KB over a border with 1 Mbit/s left. Where the first entry of a
 # place fails, the next one still has the routes within the shortest bound on changes, 2 s.
-FETCH_STEP_S = 0.5
+FETCH_STAGGER_S = 0.5
 # At the start of many entries at once: a whole copy from the store, and its way through the place.
-START_STEP_S = 0.3
+START_STAGGER_S = 0.3
 LIST_WAIT_S = 0.2  # for the list of entries, a few KB, by which an entry that starts knows its rank
 
 
 @dataclass(frozen=True)
-class Self:
+class LocalEntry:
     """This entry's host and place."""
 
     host: HostId
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class KnownEntry:
+class PeerEntry:
     """Another entry that was heard lately, ready or not, and where it listens for this one.
 
     Its routes were `routes_age_s` old when it was heard, and are that much older by now; its list
@@ -58,58 +58,60 @@
     targets_digest: int = 0
 
 
-def reading_order(host: HostId) -> tuple[int, HostId]:
+def reader_sort_key(host: HostId) -> tuple[int, HostId]:
     """Return a key that sorts entries by who reads the routes first."""
-    return (-weight(PURPOSE, host), host)
+    return (-rendezvous_weight(PURPOSE, host), host)
 
 
-def rank_in_place(me: Self, others: Iterable[KnownEntry]) -> int:
+def rank_in_place(me: LocalEntry, others: Iterable[PeerEntry]) -> int:
     """Return how many of the entries heard in this place come before this one."""
     near = [entry.host for entry in others if entry.place == me.place]
-    return sum(1 for host in near if reading_order(host) < reading_order(me.host))
+    return sum(1 for host in near if reader_sort_key(host) < reader_sort_key(me.host))
 
 
-def is_reader(me: Self, others: Iterable[KnownEntry]) -> bool:
+def is_route_reader(me: LocalEntry, others: Iterable[PeerEntry]) -> bool:
     """Return whether this entry reads the routes, for the others of its place."""
     return rank_in_place(me, others) < READERS_PER_PLACE
 
 
-def is_list_vouched(digest: int, others: Iterable[KnownEntry]) -> bool:
+def is_target_list_confirmed(digest: int, others: Iterable[PeerEntry]) -> bool:
     """Return whether another entry has the same targets by a list that it read lately."""
     return any(
-        entry.targets_digest == digest and entry.targets_age_s < LIST_VOUCHED_S for entry in others
+        entry.targets_digest == digest and entry.targets_age_s < LIST_CONFIRMED_MAX_AGE_S
+        for entry in others
     )
 
 
-def choose_asked(me: Self, others: Iterable[KnownEntry]) -> list[KnownEntry]:
+def choose_peers_to_query(me: LocalEntry, others: Iterable[PeerEntry]) -> list[PeerEntry]:
     """Return the entries to ask: the first reader of this place, and one of another place.
 
     One whose own routes are old, as the store turns it away, comes after the others.
     """
     order = sorted(
-        others, key=lambda entry: (entry.routes_age_s > VOUCHED_S, reading_order(entry.host))
+        others,
+        key=lambda entry: (entry.routes_age_s > CONFIRMED_MAX_AGE_S, reader_sort_key(entry.host)),
     )
     near = [entry for entry in order if entry.place == me.place]
     far = [entry for entry in order if entry.place != me.place]
-    return [*near[:1], *far[: ASKED - len(near[:1])]]
+    return [*near[:1], *far[: QUERIED_PEERS - len(near[:1])]]
 
 
 def fallback_age_s(rank: int) -> float:
     """Return from which age of the routes on an entry that is no reader reads the store itself."""
-    return VOUCHED_S + READ_STEP_S * (_step_of(rank) - 1)
+    return CONFIRMED_MAX_AGE_S + READ_STAGGER_S * (_step_of(rank) - 1)
 
 
-def far_wait_s(rank: int) -> float:
+def remote_fetch_delay_s(rank: int) -> float:
     """Return how long an entry lets others of its place fetch what only another place has."""
-    return FETCH_STEP_S * _step_of(rank)
+    return FETCH_STAGGER_S * _step_of(rank)
 
 
-def start_wait_s(rank: int | None) -> float:
+def start_delay_s(rank: int | None) -> float:
     """Return how long an entry that starts waits to be told the routes before it reads them.
 
     Its rank is that among the listed entries of its place; None while the list is not here.
     """
-    return LIST_WAIT_S if rank is None else START_STEP_S * max(0, _step_of(rank) - 1)
+    return LIST_WAIT_S if rank is None else START_STAGGER_S * max(0, _step_of(rank) - 1)
 
 
 def _step_of(rank: int) -> int:
--- a/src/lacewinggw/decisions/routes.py
+++ b/src/lacewinggw/decisions/routes.py
@@ -13,10 +13,10 @@
 
 from lacewinggw.ids import Account, Address, ModelName, RouteName, ServiceName
 
-USUAL_PRIORITY = 1  # of a route that declares none
+DEFAULT_PRIORITY = 1  # of a route that declares none
 
 
-class Repeat(Enum):
+class RetryPolicy(Enum):
     """What may be done again with a request whose outcome is not known."""
 
     IDEMPOTENT = "idempotent"
@@ -43,19 +43,19 @@
     name: RouteName
     domain: str
     prefix: str
-    repeat: Repeat
+    retry_policy: RetryPolicy
     streams: bool
     timeout_s: float
     objective_s: float
     shares: tuple[ServiceShare, ...]
     attempts: int = 1
-    priority: int = USUAL_PRIORITY
+    priority: int = DEFAULT_PRIORITY
     anonymous: bool = False
     gap_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class EngineFigures:
+class EngineProfile:
     """How a service's model engines work, as their operators measured it.
 
     A step gives each running request one token and takes `step_s`, plus `step_per_request_s` for
@@ -72,13 +72,13 @@
     chunk_tokens: int
     stride: int
     memory_tokens: int
-    usual_prompt_tokens: int
-    usual_answer_tokens: int
+    typical_prompt_tokens: int
+    typical_answer_tokens: int
     report_lag_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class WeightsFigures:
+class WeightsProfile:
     """What the weights of a model are made of, and how long an engine takes to load them."""
 
     layers: int
@@ -96,9 +96,9 @@
 
     name: ServiceName
     connection_limit: int = 0
-    engine: EngineFigures | None = None
+    engine: EngineProfile | None = None
     models: tuple[ModelName, ...] = ()
-    weights: WeightsFigures | None = None
+    weights: WeightsProfile | None = None
     origin: Address | None = None
     origin_bytes_per_s: float = 0.0
 
--- a/src/lacewinggw/decisions/knowledge.py
+++ b/src/lacewinggw/decisions/routingview.py
@@ -14,11 +14,13 @@
 from lacewinggw.decisions.targetlist import DueVersion, TargetEntry, TargetPhase
 from lacewinggw.ids import ModelName, TargetId, TargetName
 
-LEFT_KEPT_S = 60.0  # a store that serves stale reads is seconds behind, a frozen entry little more
+DEPARTED_RETENTION_S = (
+    60.0  # a store that serves stale reads is seconds behind, a frozen entry little more
+)
 
 
 @dataclass(frozen=True)
-class KnowledgeRules:
+class RoutingViewRules:
     """Bounds in seconds.
 
     `revocation_s`: a key that was taken away counts no longer. `apply_s`: a change is in force.
@@ -32,14 +34,14 @@
     revocation_s: float = 5.0
     apply_s: float = 2.0
     lapse_s: float = 1.9
-    settled_s: float = 3.0
+    post_outage_s: float = 3.0
     version_s: float = 8.0
     begin_s: float = 0.9
     slack_s: float = 0.5
 
 
 @dataclass(frozen=True)
-class Due:
+class RequiredVersion:
     """A version that is due, and when this process learned of it.
 
     A process that has just started finds a version named at some time before, and counts it as
@@ -48,33 +50,33 @@
     """
 
     version: int
-    learned_at: float
+    received_at: float
     is_guess: bool = False
 
 
 @dataclass(frozen=True)
-class _Proof:
+class _RoutesConfirmation:
     """A version of the routes, and moments at which it was the newest.
 
     `proved_at` holds under any trouble of the store, `seen_at` while its feed overlooks nothing.
     """
 
     version: int = 0
-    proved_at: float = -math.inf
-    seen_at: float = -math.inf
+    confirmed_at: float = -math.inf
+    observed_at: float = -math.inf
 
 
-class Knowledge:
+class RoutingView:
     """The routes, the versions due and the targets, as one process knows them.
 
     knowledge.take_routes(table, proved_at=now)
     if knowledge.covers_keys(now): ...
     """
 
-    def __init__(self, rules: KnowledgeRules) -> None:
+    def __init__(self, rules: RoutingViewRules) -> None:
         self.rules = rules
         self.routes: RouteTable | None = None
-        self._due: dict[ModelName, list[Due]] = {}
+        self._due: dict[ModelName, list[RequiredVersion]] = {}
         self._targets: dict[TargetId, TargetEntry] = {}
         self._lapsing: dict[TargetId, float] = {}
         self._left: set[TargetId] = set()
@@ -82,7 +84,7 @@
         self._starts: dict[TargetName, TargetEntry] = {}  # the newest start that was listed
         self._routes_proved_at = float("-inf")
         self._routes_seen_at = float("-inf")
-        self._ahead = _Proof()  # of routes that others have
+        self._ahead = _RoutesConfirmation()  # of routes that others have
         self._outage_ended_at = float("-inf")
 
     @property
@@ -95,22 +97,22 @@
         """The targets that take no new work."""
         return self._left
 
-    def routes_age(self, now: float) -> float:
+    def routes_age_s(self, now: float) -> float:
         """Return how many seconds ago the routes were known to be the newest."""
         return now - self._routes_proved_at
 
-    def routes_seen_age(self, now: float) -> float:
+    def routes_observed_age_s(self, now: float) -> float:
         """Return how many seconds ago the routes were seen to be the newest, by a store in order.
 
         It is younger by the time that the store was waited for.
         """
         return now - self._routes_seen_at
 
-    def covers_keys(self, now: float) -> bool:
+    def can_accept_keys(self, now: float) -> bool:
         """Return whether a key that is on the table may be honoured still."""
-        return self.routes is not None and self.routes_age(now) < self.rules.revocation_s
+        return self.routes is not None and self.routes_age_s(now) < self.rules.revocation_s
 
-    def covers_denial(self, now: float) -> bool:
+    def can_deny_unknown(self, now: float) -> bool:
         """Return whether what the table lacks may be denied: something new would be known.
 
         A change is in force everywhere within the bound on changes, so what was the newest at a
@@ -119,7 +121,7 @@
         """
         if self.routes is None or self._is_behind:
             return False
-        return self.routes_seen_age(now) < self.rules.apply_s
+        return self.routes_observed_age_s(now) < self.rules.apply_s
 
     @property
     def _is_behind(self) -> bool:
@@ -127,40 +129,40 @@
 
     # ---- configuration --------------------------------------------------------------------
 
-    def take_routes(self, table: RouteTable) -> bool:
+    def update_routes(self, table: RouteTable) -> bool:
         """Take a version of the routes unless it is older; return whether it is new."""
         if self.routes is not None and table.version <= self.routes.version:
             return False
         self.routes = table
         if table.version == self._ahead.version:
-            self.prove_routes(self._ahead.proved_at, self._ahead.seen_at)
+            self.confirm_routes(self._ahead.confirmed_at, self._ahead.observed_at)
         return True
 
-    def prove_routes(self, proved_at: float, seen_at: float | None = None) -> None:
+    def confirm_routes(self, confirmed_at: float, observed_at: float | None = None) -> None:
         """Note that the routes known were the newest at a moment, and seen to be so at another."""
-        seen_at = proved_at if seen_at is None else seen_at
-        self._routes_proved_at = max(self._routes_proved_at, proved_at)
-        self._routes_seen_at = max(self._routes_seen_at, seen_at)
+        observed_at = confirmed_at if observed_at is None else observed_at
+        self._routes_proved_at = max(self._routes_proved_at, confirmed_at)
+        self._routes_seen_at = max(self._routes_seen_at, observed_at)
 
-    def take_proof(
-        self, version: int, proved_at: float = -math.inf, seen_at: float | None = None
+    def confirm_version(
+        self, version: int, confirmed_at: float = -math.inf, observed_at: float | None = None
     ) -> None:
         """Note that a version of the routes was the newest at a moment, or only that it exists.
 
         It proves nothing of other versions; that of a newer one counts once that one is here.
         """
-        seen_at = proved_at if seen_at is None else seen_at
+        observed_at = confirmed_at if observed_at is None else observed_at
         known = self.routes.version if self.routes is not None else 0
         if version == known:
-            self.prove_routes(proved_at, seen_at)
+            self.confirm_routes(confirmed_at, observed_at)
         if version <= known or version < self._ahead.version:
             return
         if version == self._ahead.version:
-            proved_at = max(proved_at, self._ahead.proved_at)
-            seen_at = max(seen_at, self._ahead.seen_at)
-        self._ahead = _Proof(version, proved_at, seen_at)
+            confirmed_at = max(confirmed_at, self._ahead.confirmed_at)
+            observed_at = max(observed_at, self._ahead.observed_at)
+        self._ahead = _RoutesConfirmation(version, confirmed_at, observed_at)
 
-    def take_due(self, due: DueVersion, now: float, old: bool = False) -> bool:
+    def require_version(self, due: DueVersion, now: float, old: bool = False) -> bool:
         """Take a version that is due unless it is older; return whether it is new.
 
         An `old` one was named some time before this process looked: the time allowed for it is over
@@ -169,41 +171,43 @@
         named = self._due.setdefault(due.model, [])
         if named and due.version <= named[-1].version:
             return False
-        used_s = max(0.0, self.rules.version_s - self.rules.settled_s) if old else 0.0
-        named.append(Due(due.version, now - used_s, is_guess=old))
+        used_s = max(0.0, self.rules.version_s - self.rules.post_outage_s) if old else 0.0
+        named.append(RequiredVersion(due.version, now - used_s, is_guess=old))
         return True
 
-    def due_versions(self, model: ModelName) -> Sequence[Due]:
+    def required_versions(self, model: ModelName) -> Sequence[RequiredVersion]:
         """Return the versions of a model that were named, the oldest first."""
         return self._due.get(model, ())
 
     @property
-    def named(self) -> Sequence[tuple[ModelName, Due]]:
+    def all_required_versions(self) -> Sequence[tuple[ModelName, RequiredVersion]]:
         """Every version that was named, with its model."""
         return [(model, due) for model, named in self._due.items() for due in named]
 
-    def least_version(self, model: ModelName, now: float) -> int:
+    def min_version(self, model: ModelName, now: float) -> int:
         """Return the oldest version on which a request may still begin; 0 for any."""
         bound_s = self.rules.version_s - self.rules.begin_s
         late = [
-            each.version for each in self.due_versions(model) if now - each.learned_at >= bound_s
+            each.version
+            for each in self.required_versions(model)
+            if now - each.received_at >= bound_s
         ]
         return max(late, default=0)
 
-    def begin_by(self, target: TargetId, model: ModelName) -> float:
+    def start_deadline(self, target: TargetId, model: ModelName) -> float:
         """Return until when a request may begin on the weights that a target is known to hold."""
         entry = self._targets.get(target)
         held = entry.weights.get(model, 0) if entry else 0
-        newer = [each.learned_at for each in self.due_versions(model) if each.version > held]
+        newer = [each.received_at for each in self.required_versions(model) if each.version > held]
         return min(newer, default=math.inf) + self.rules.version_s - self.rules.slack_s
 
     # ---- targets --------------------------------------------------------------------------
 
-    def note_outage_end(self, now: float) -> None:
+    def record_outage_end(self, now: float) -> None:
         """Note that the store answers again: what lapsed meanwhile is soon back or gone."""
         self._outage_ended_at = now
 
-    def take_target(self, entry: TargetEntry) -> None:
+    def update_target(self, entry: TargetEntry) -> None:
         """Take what the list says of a target; a start that leaves never comes back.
 
         A start that was born later under the same name ends the one before, and what is heard of
@@ -225,7 +229,7 @@
             entry = replace(entry, weights=_newest(known.weights, entry.weights))
         self._targets[entry.target] = entry
 
-    def take_whole_list(
+    def replace_targets(
         self, entries: Iterable[TargetEntry], now: float, is_restored: bool = False
     ) -> None:
         """Take the whole list of targets; what is not on it has vanished.
@@ -240,11 +244,11 @@
         }
         known = {entry.name for entry in self._targets.values()}
         for name in known - listed.keys():
-            self.drop_target(name, now)
+            self.remove_delisted(name, now)
         for entry in listed.values():
-            self.take_target(entry)
+            self.update_target(entry)
 
-    def drop_target(self, name: TargetName, now: float) -> None:
+    def remove_delisted(self, name: TargetName, now: float) -> None:
         """Note that a target has vanished from the list.
 
         After an outage of the store a live one is back soon, so it is believed a little longer,
@@ -253,14 +257,14 @@
         target = self._listed_start(name)
         if target is None:
             return
-        lapsed = now - self._outage_ended_at < self.rules.settled_s
+        lapsed = now - self._outage_ended_at < self.rules.post_outage_s
         if lapsed and target not in self._left:
             until = self._outage_ended_at + self.rules.lapse_s
             self._lapsing.setdefault(target, max(until, now))
             return
         del self._targets[target]
 
-    def disown_target(self, name: TargetName) -> None:
+    def remove_unreadable(self, name: TargetName) -> None:
         """Let go of a target whose entry cannot be read: nobody can tell whether it may be used.
 
         It may be leaving, or its name may stand for something else by now. A readable entry brings
@@ -270,7 +274,7 @@
         if target is not None:
             self._forget_start(target)
 
-    def note_born(self, name: TargetName, born_ms: int) -> None:
+    def record_incarnation(self, name: TargetName, born_ms: int) -> None:
         """Note when a target was born, as told by its host: an earlier start of it is over.
 
         The list follows within a heartbeat of the target; until then the new start is not used, as
@@ -278,9 +282,9 @@
         """
         newest = self._starts.get(name)
         if newest is not None and 0 < newest.born_ms < born_ms:
-            self.note_leaving(newest.target)
+            self.mark_leaving(newest.target)
 
-    def note_weights(self, target: TargetId, weights: Mapping[ModelName, int]) -> bool:
+    def update_weights(self, target: TargetId, weights: Mapping[ModelName, int]) -> bool:
         """Take what a target was heard to hold; return whether that is new.
 
         Within one start of a target versions only rise, so an update that overtakes the list, or
@@ -295,7 +299,7 @@
         self._targets[target] = replace(entry, weights=merged)
         return True
 
-    def note_leaving(self, target: TargetId) -> None:
+    def mark_leaving(self, target: TargetId) -> None:
         """Note that a target leaves, as somebody other than the list said."""
         self._left.add(target)
 
@@ -326,7 +330,7 @@
         starts = {entry.target: entry.name for entry in self._starts.values()}
         for target in (self._left | starts.keys()) - self._targets.keys():
             since = self._unlisted_since.setdefault(target, now)
-            if now - since >= LEFT_KEPT_S:
+            if now - since >= DEPARTED_RETENTION_S:
                 self._left.discard(target)
                 if target in starts:
                     del self._starts[starts[target]]
--- a/src/lacewinggw/decisions/storeclock.py
+++ b/src/lacewinggw/decisions/storeclock.py
@@ -16,11 +16,11 @@
 from collections import deque
 from dataclasses import dataclass
 
-KEPT_S = 60.0  # clocks that drift by 100 parts in a million are 6 ms apart after it
+DIFFERENCE_RETENTION_S = 60.0  # clocks that drift by 100 parts in a million are 6 ms apart after it
 
 
 @dataclass(frozen=True)
-class Proof:
+class AnswerTimes:
     """When an answer proves what it tells: under any trouble, and while the store is well."""
 
     sent_at: float
@@ -33,26 +33,30 @@
     def __init__(self) -> None:
         self._differences: deque[tuple[float, float]] = deque()  # descending, with their moments
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all answers: another store speaks, with a clock of its own."""
         self._differences.clear()
 
-    def prove(self, sent_at: float, received_at: float, told_s: float | None) -> Proof:
+    def answer_times(
+        self, sent_at: float, received_at: float, store_clock_s: float | None
+    ) -> AnswerTimes:
         """Return the proof that an answer is."""
-        return Proof(sent_at, self.place(sent_at, received_at, told_s))
+        return AnswerTimes(sent_at, self.estimate_composed_at(sent_at, received_at, store_clock_s))
 
-    def place(self, sent_at: float, received_at: float, told_s: float | None) -> float:
+    def estimate_composed_at(
+        self, sent_at: float, received_at: float, store_clock_s: float | None
+    ) -> float:
         """Return the earliest moment at which an answer may have been composed."""
-        if told_s is None:
+        if store_clock_s is None:
             return sent_at
-        self._note(received_at, sent_at - told_s)
+        self._note(received_at, sent_at - store_clock_s)
         _, difference = self._differences[0]
-        return min(max(sent_at, told_s + difference), received_at)
+        return min(max(sent_at, store_clock_s + difference), received_at)
 
     def _note(self, moment: float, difference: float) -> None:
         kept = self._differences
         while kept and kept[-1][1] <= difference:
             kept.pop()
         kept.append((moment, difference))
-        while kept[0][0] < moment - KEPT_S:
+        while kept[0][0] < moment - DIFFERENCE_RETENTION_S:
             kept.popleft()
--- a/src/lacewinggw/decisions/storeposition.py
+++ b/src/lacewinggw/decisions/storeposition.py
@@ -19,4 +19,4 @@
     revision: int = 0
 
 
-NOWHERE = StorePosition()  # nothing is known
+NO_POSITION = StorePosition()  # nothing is known
--- a/src/lacewinggw/decisions/targetrate.py
+++ b/src/lacewinggw/decisions/targetrate.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lacewinggw.decisions.pollers import ranked
-from lacewinggw.decisions.readers import KnownEntry
+from lacewinggw.decisions.peerselection import rendezvous_order
+from lacewinggw.decisions.routereaders import PeerEntry
 from lacewinggw.ids import HostId, Place, TargetId
 
 # Each holder may have one request saved up. With two holders for each request a second and three
@@ -115,7 +115,7 @@
 
 
 def entry_share(
-    me: HostId, target: TargetId, place: Place, per_s: float, entries: Iterable[KnownEntry]
+    me: HostId, target: TargetId, place: Place, per_s: float, entries: Iterable[PeerEntry]
 ) -> float:
     """Return how many requests a second an entry may send to a target in `place`; mostly 0."""
     holders = choose_holders(target, place, per_s, entries)
@@ -123,14 +123,18 @@
 
 
 def choose_holders(
-    target: TargetId, place: Place, per_s: float, entries: Iterable[KnownEntry]
+    target: TargetId, place: Place, per_s: float, entries: Iterable[PeerEntry]
 ) -> list[HostId]:
     """Return the entries that may send to a target: those of its place before others.
 
     They hear the agent beside the target, and what they send crosses no border.
     """
     known = list(entries)
-    near = ranked(f"limit of {target}", (each.host for each in known if each.place == place))
-    far = ranked(f"limit of {target}", (each.host for each in known if each.place != place))
+    near = rendezvous_order(
+        f"limit of {target}", (each.host for each in known if each.place == place)
+    )
+    far = rendezvous_order(
+        f"limit of {target}", (each.host for each in known if each.place != place)
+    )
     count = MIN_HOLDERS + math.floor(HOLDERS_PER_RATE * per_s)
     return [HostId(host) for host in [*near, *far][:count]]
--- a/src/lacewinggw/decisions/topology.py
+++ b/src/lacewinggw/decisions/topology.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class DueHost:
+class ReleaseHost:
     """A host that is to hold the release."""
 
     host: HostId
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class TopologyPlan:
+class TopologyRules:
     """How to derive a `Topology`.
 
     `local` and `remote` are neighbours in the same place and per column in others, `columns` the
@@ -62,7 +62,7 @@
     ranks: int
     per_place: bool
 
-    def derive(self, me: DueHost, hosts: Iterable[DueHost], digest: Digest) -> Topology:
+    def derive(self, me: ReleaseHost, hosts: Iterable[ReleaseHost], digest: Digest) -> Topology:
         """Return the topology for `me` among `hosts`, of which it is one."""
         by_place: dict[Place, list[HostId]] = defaultdict(list)
         for each in {*hosts, me}:
@@ -116,7 +116,7 @@
 
     def _origin_rank(
         self,
-        me: DueHost,
+        me: ReleaseHost,
         gateways: Mapping[Place, Sequence[Sequence[HostId]]],
         order: Sequence[Place],
         column: int,
--- a/src/lacewinggw/decisions/waitbudget.py
+++ b/src/lacewinggw/decisions/waitbudget.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from lacewinggw.decisions.routes import EngineFigures, Route
+from lacewinggw.decisions.routes import EngineProfile, Route
 from lacewinggw.decisions.waitqueue import MIN_LATE_SHARE
 from lacewinggw.ids import RouteName
 
@@ -63,13 +63,13 @@
         )
 
 
-def prefill_time(engine: EngineFigures, prompt_tokens: int) -> float:
+def prefill_time(engine: EngineProfile, prompt_tokens: int) -> float:
     """Return how long an engine takes to read a prompt by itself, in seconds."""
     pairs = prompt_tokens * prompt_tokens / 2
     return prompt_tokens / engine.read_tokens_per_s + pairs / 1e6 * engine.pair_s_per_million
 
 
-def first_part_s(route: Route, engine: EngineFigures | None, prompt_tokens: int) -> float:
+def first_part_s(route: Route, engine: EngineProfile | None, prompt_tokens: int) -> float:
     """Return how long a target takes to the first part of its answer, once it has started."""
     if engine is None:
         return PLAIN_SHARE * route.objective_s
@@ -80,7 +80,7 @@
 
 def wait_budget(
     route: Route,
-    engine: EngineFigures | None,
+    engine: EngineProfile | None,
     prompt_tokens: int,
     elapsed_s: float,
     left_s: float,
--- a/src/lacewinggw/decisions/waves.py
+++ b/src/lacewinggw/decisions/waves.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 from math import ceil
 
-from lacewinggw.decisions.pollers import rank_of, weight
+from lacewinggw.decisions.peerselection import rendezvous_rank, rendezvous_weight
 from lacewinggw.decisions.revisions import FleetState
 from lacewinggw.generated.messages.ttypes import Heartbeat, TargetState
 
 PERCENT = 100
-WAVE_SHARE = 8  # a wave smaller than one in so many hosts waits a little for others
+MIN_WAVE_DIVISOR = 8  # a wave smaller than one in so many hosts waits a little for others
 WAVE_WAIT_S = 1.0
-PURPOSE = "placer"
-COORDINATORS = 2
+PLACER_PURPOSE = "placer"
+COORDINATOR_COUNT = 2
 
 
 @dataclass(frozen=True)
@@ -29,25 +29,28 @@
     whether it was lately heard to be still fetching that, with nothing to serve.
     """
 
-    turning: bool
-    ready: bool
-    serving: bool
-    empty: bool = False
+    is_changing_over: bool
+    is_ready: bool
+    is_serving: bool
+    is_empty: bool = False
 
 
-Progress = Mapping[str, HostProgress]
+ProgressByHost = Mapping[str, HostProgress]
 
 
-def coordinates(host: str, entries: Iterable[str]) -> bool:
+def is_coordinator(host: str, entries: Iterable[str]) -> bool:
     """Return whether an entry is one of the few that hear every host of a changing service.
 
     They are the ones whose turn to place comes first; the others hear a subset of the hosts, and
     would judge the rest to serve nothing.
     """
-    return rank_of(PURPOSE, host, [each for each in entries if each != host]) < COORDINATORS
+    return (
+        rendezvous_rank(PLACER_PURPOSE, host, [each for each in entries if each != host])
+        < COORDINATOR_COUNT
+    )
 
 
-def floor_of(replicas: int, floor_percent: int) -> int:
+def min_serving_hosts(replicas: int, floor_percent: int) -> int:
     """Return how many hosts have to go on serving; one may always be spared."""
     return min(ceil(replicas * floor_percent / PERCENT), max(replicas - 1, 0))
 
@@ -69,17 +72,17 @@
 
 def _measure_host(digest: str, next_digest: str, heard: Heartbeat | None) -> HostProgress:
     if heard is None:
-        return HostProgress(turning=bool(next_digest), ready=False, serving=False)
+        return HostProgress(is_changing_over=bool(next_digest), is_ready=False, is_serving=False)
     return HostProgress(
-        turning=bool(next_digest),
-        ready=bool(next_digest) and heard.ready_digest == next_digest,
-        serving=heard.state == TargetState.SERVING and heard.digest == digest,
-        empty=heard.state == TargetState.FETCHING and not heard.digest,
+        is_changing_over=bool(next_digest),
+        is_ready=bool(next_digest) and heard.ready_digest == next_digest,
+        is_serving=heard.state == TargetState.SERVING and heard.digest == digest,
+        is_empty=heard.state == TargetState.FETCHING and not heard.digest,
     )
 
 
 def choose_wave(
-    service: str, progress: Progress, floor_percent: int, waited_s: float
+    service: str, progress: ProgressByHost, floor_percent: int, waited_s: float
 ) -> tuple[str, ...]:
     """Return the hosts that change over now, in the order of their rendezvous rank.
 
@@ -89,27 +92,29 @@
     """
     if _none_has_begun(progress):
         return tuple(_within(list(progress), progress, 0, service))
-    ready = [host for host, each in progress.items() if each.turning and each.ready]
+    ready = [host for host, each in progress.items() if each.is_changing_over and each.is_ready]
     if not ready:
         return ()
-    serving = sum(1 for each in progress.values() if each.serving)
-    spare = serving - floor_of(len(progress), floor_percent)
+    serving = sum(1 for each in progress.values() if each.is_serving)
+    spare = serving - min_serving_hosts(len(progress), floor_percent)
     wave = list(_within(ready, progress, spare, service))
-    turning = sum(1 for each in progress.values() if each.turning)
-    enough = min(ceil(len(progress) / WAVE_SHARE), turning, max(spare, 1))
+    turning = sum(1 for each in progress.values() if each.is_changing_over)
+    enough = min(ceil(len(progress) / MIN_WAVE_DIVISOR), turning, max(spare, 1))
     if len(wave) < enough and waited_s < WAVE_WAIT_S:
         return ()
     return tuple(wave)
 
 
-def _none_has_begun(progress: Progress) -> bool:
-    return bool(progress) and all(each.turning and each.empty for each in progress.values())
+def _none_has_begun(progress: ProgressByHost) -> bool:
+    return bool(progress) and all(
+        each.is_changing_over and each.is_empty for each in progress.values()
+    )
 
 
-def _within(ready: list[str], progress: Progress, spare: int, service: str) -> Iterable[str]:
+def _within(ready: list[str], progress: ProgressByHost, spare: int, service: str) -> Iterable[str]:
     """Yield ready hosts, by rank, as long as those that still serve are to spare."""
-    for host in sorted(ready, key=lambda each: (-weight(service, each), each)):
-        if progress[host].serving:
+    for host in sorted(ready, key=lambda each: (-rendezvous_weight(service, each), each)):
+        if progress[host].is_serving:
             if spare <= 0:
                 continue
             spare -= 1
--- a/src/lacewinggw/entry/ledger.py
+++ b/src/lacewinggw/entry/ledger.py
@@ -18,8 +18,13 @@
 from lacewinggw.configuration.logstore import Appended, LogStore, Outdated, Taken, Truncated
 from lacewinggw.configuration.replica import Replica
 from lacewinggw.configuration.upstreams import Upstreams
-from lacewinggw.decisions.commands import accepted_before, check_command, check_remembered
-from lacewinggw.decisions.pollers import NEIGHBOURS, Candidate, neighbours, reads_store
+from lacewinggw.decisions.commands import check_command, check_within_history, find_accepted_entry
+from lacewinggw.decisions.peerselection import (
+    UPSTREAM_COUNT,
+    Candidate,
+    is_log_reader,
+    order_entry_upstreams,
+)
 from lacewinggw.errors import (
     AcceptanceUnknown,
     LacewingError,
@@ -75,7 +80,7 @@
         self._upstreams: Upstreams | None = None
         if node is not None:
             self._upstreams = Upstreams(
-                node, self._replica, self._neighbour_addresses, NEIGHBOURS, metrics
+                node, self._replica, self._neighbour_addresses, UPSTREAM_COUNT, metrics
             )
         self._accepting = asyncio.Lock()
         self._loop = Background("configuration", self._follow)
@@ -135,10 +140,10 @@
         try:
             async with asyncio.timeout(ACCEPT_LIMIT_S), self._accepting:
                 while True:
-                    known = accepted_before(self.state, command_id)
+                    known = find_accepted_entry(self.state, command_id)
                     if known is not None:
                         return known
-                    check_remembered(self.state, command_id, read_revision, repeated)
+                    check_within_history(self.state, command_id, read_revision, repeated)
                     check_command(self.state, changes, read_revision)
                     await self._append_once(attempt)
         except TimeoutError as error:
@@ -204,7 +209,7 @@
         if self._node is None:
             return []
         own = self._node.identity.host
-        return [Address(each.address) for each in neighbours(own, self._entries())]
+        return [Address(each.address) for each in order_entry_upstreams(own, self._entries())]
 
     def _poll_s(self) -> float:
         return self._settings.poll_ms / MS_PER_S
@@ -228,7 +233,7 @@
         if self._node is None:
             return True
         identity = self._node.identity
-        return reads_store(identity.host, identity.place, self._entries())
+        return is_log_reader(identity.host, identity.place, self._entries())
 
     async def _read_tail(self) -> None:
         while True:
--- a/src/lacewinggw/entry/operators.py
+++ b/src/lacewinggw/entry/operators.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lacewinggw.clients.weights import WeightsClient
-from lacewinggw.decisions.commands import accepted_before
+from lacewinggw.decisions.commands import find_accepted_entry
 from lacewinggw.entry.gauges import ServiceGauges
 from lacewinggw.entry.ledger import Ledger
 from lacewinggw.entry.survey import Survey
@@ -135,7 +135,7 @@
         commands = parse_commands(words)
         self._require_ready()
         command_id = self._command_id(body)
-        known = accepted_before(self._ledger.state, command_id)
+        known = find_accepted_entry(self._ledger.state, command_id)
         if known is not None:
             return _accepted(known, repeated=True)
         read_revision = await self._read_revision(body)
--- a/src/lacewinggw/entry/placer.py
+++ b/src/lacewinggw/entry/placer.py
@@ -13,17 +13,17 @@
 
 from lacewinggw.background import Background
 from lacewinggw.clients.membership import Member, MemberRole, MemberState
-from lacewinggw.decisions.hosts import Heard, HostWatch
+from lacewinggw.decisions.hostfailures import HeartbeatTimes, HostFailureDetector
+from lacewinggw.decisions.peerselection import rendezvous_rank
 from lacewinggw.decisions.placement import (
-    HostFact,
+    HostInfo,
     PlacementPlan,
     Shortfall,
-    is_whole,
+    is_fully_placed,
     plan_placement,
 )
-from lacewinggw.decisions.pollers import rank_of
 from lacewinggw.decisions.revisions import ChangeContent, FleetState, change_of, content_of
-from lacewinggw.decisions.waves import PURPOSE, choose_wave, measure_progress
+from lacewinggw.decisions.waves import PLACER_PURPOSE, choose_wave, measure_progress
 from lacewinggw.entry.ledger import Ledger
 from lacewinggw.errors import (
     ConfigurationConflict,
@@ -56,7 +56,7 @@
 log = get_logger(__name__)
 
 Members = Callable[[], Sequence[Member]]
-LastHeard = Callable[[], Heard]
+LastHeard = Callable[[], HeartbeatTimes]
 Heartbeats = Callable[[], Mapping[str, Heartbeat]]
 
 
@@ -87,12 +87,12 @@
         self._ready_since: dict[str, float] = {}
         self._metrics = metrics
         self._rng = rng
-        self._watch = HostWatch(settings.dead_host_ms / MS_PER_S)
+        self._watch = HostFailureDetector(settings.dead_host_ms / MS_PER_S)
         self._addresses: dict[HostId, Address] = {}
         self._needed_since: float | None = None
         self._not_before = 0.0
         self._plan = PlacementPlan()
-        self._hosts: dict[str, HostFact] = {}
+        self._hosts: dict[str, HostInfo] = {}
         self._seen_members: Sequence[Member] = ()
         self._lost: set[str] = set()
         self._touched: set[str] | None = None  # services to look at; None for all
@@ -152,9 +152,9 @@
         self._take_members(members)
         placed = self._ledger.state.placed_hosts()
         if self._moved:
-            self._watch.observe(self._hosts, placed, now)
+            self._watch.update_listed(self._hosts, placed, now)
             self._moved = False
-        lost = self._watch.lost(self._last_heard(), placed, now)
+        lost = self._watch.find_dead(self._last_heard(), placed, now)
         plan = self._planned(lost)
         if not plan.places and not self._waves(now):
             self._needed_since = None
@@ -195,13 +195,13 @@
         """Take a new list of hosts; the same one again costs nothing."""
         if members is self._seen_members:
             return
-        hosts: dict[str, HostFact] = {}
+        hosts: dict[str, HostInfo] = {}
         for member in members:
             if member.role is not MemberRole.AGENT:
                 continue
             self._addresses[member.host] = member.address
             leaving = member.state is MemberState.LEAVING
-            hosts[member.host] = HostFact(member.host, member.place, member.service, leaving)
+            hosts[member.host] = HostInfo(member.host, member.place, member.service, leaving)
         self._hosts = hosts
         self._seen_members = members
         self._touched = None
@@ -213,7 +213,9 @@
         if lost != self._lost:
             touched = None
         self._lost, self._touched = lost, set()
-        if touched is None or any(not is_whole(state, name, self._hosts, lost) for name in touched):
+        if touched is None or any(
+            not is_fully_placed(state, name, self._hosts, lost) for name in touched
+        ):
             self._plan = plan_placement(state, self._hosts, lost)
         elif touched:
             places = [each for each in self._plan.places if each.service_name not in touched]
@@ -228,7 +230,7 @@
             for member in members
             if member.role is MemberRole.ENTRY and member.state is MemberState.LIVE
         ]
-        rank = rank_of(PURPOSE, own, [host for host in entries if host != own])
+        rank = rendezvous_rank(PLACER_PURPOSE, own, [host for host in entries if host != own])
         return rank * self._settings.placement_delay_ms / MS_PER_S
 
     async def _commit(self, lost: set[str]) -> None:
@@ -260,7 +262,7 @@
         places = []
         for service in [name for name, hosts in state.upcoming.items() if hosts]:
             progress = measure_progress(state, service, self._heartbeats())
-            waiting = any(each.turning and each.ready for each in progress.values())
+            waiting = any(each.is_changing_over and each.is_ready for each in progress.values())
             since = self._ready_since.setdefault(service, now) if waiting else now
             if not waiting:
                 self._ready_since.pop(service, None)
--- a/src/lacewinggw/entry/process.py
+++ b/src/lacewinggw/entry/process.py
@@ -6,8 +6,8 @@
 from lacewinggw.clients.group import PlatformClients
 from lacewinggw.clients.watch import MemberList, MemberWatch
 from lacewinggw.configuration.candidates import entry_candidates
-from lacewinggw.decisions.hosts import Heard
-from lacewinggw.decisions.revisions import FleetState, moves_placements
+from lacewinggw.decisions.hostfailures import HeartbeatTimes
+from lacewinggw.decisions.revisions import FleetState, may_change_placements
 from lacewinggw.entry.callers import CallerService
 from lacewinggw.entry.ledger import Ledger
 from lacewinggw.entry.limits import AccountLimits
@@ -79,7 +79,7 @@
             self.ledger,
             self.node,
             self._members,
-            lambda: Heard(self.targets.last_heard()),
+            lambda: HeartbeatTimes(self.targets.last_heard()),
             self.targets.fresh_heartbeats,
             self.metrics,
             rng,
@@ -185,7 +185,7 @@
 
     def _take_changes(self, _: FleetState, entries: Sequence[messages.LogEntry]) -> None:
         """Choose targets anew, which goes over the whole fleet, only when placements moved."""
-        if moves_placements(entries):
+        if may_change_placements(entries):
             self.targets.refresh()
 
     def _readiness(self) -> Readiness:
--- a/src/lacewinggw/entry/targets.py
+++ b/src/lacewinggw/entry/targets.py
@@ -26,7 +26,7 @@
     note_report,
 )
 from lacewinggw.decisions.subsets import TargetHost, pick_subset, ring_position
-from lacewinggw.decisions.waves import coordinates
+from lacewinggw.decisions.waves import is_coordinator
 from lacewinggw.entry.watches import Watched, Watches
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.messages.ttypes import Priority, TargetState
@@ -342,7 +342,7 @@
         The more there are, the longer the interval between the heartbeats of each: what changes is
         told at once in any case.
         """
-        if not coordinates(self._me, self._entries):
+        if not is_coordinator(self._me, self._entries):
             return {}
         state = self._state()
         changing = (hosts for name, hosts in state.placements.items() if state.upcoming.get(name))
--- a/src/lacewinggw/fleet/agentupdates.py
+++ b/src/lacewinggw/fleet/agentupdates.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.routes import Repeat, RouteTable, Service
+from lacewinggw.decisions.routes import RetryPolicy, RouteTable, Service
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.storeposition import StorePosition
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.generated.messages import ttypes as messages
@@ -20,7 +20,7 @@
 
 
 def compose_update(
-    knowledge: Knowledge, service: Service, position: StorePosition, now: float
+    knowledge: RoutingView, service: Service, position: StorePosition, now: float
 ) -> messages.FleetUpdate | None:
     """Return the update for the agents of a service, None while too little is known."""
     table = knowledge.routes
@@ -40,8 +40,8 @@
         origin_bytes_per_s=round(origin.origin_bytes_per_s) if origin else 0,
         resumable=all_resume(table, service.name),
         named=[
-            messages.NamedVersion(due.version, round((now - due.learned_at) * MS_PER_S))
-            for due in knowledge.due_versions(model)
+            messages.NamedVersion(due.version, round((now - due.received_at) * MS_PER_S))
+            for due in knowledge.required_versions(model)
         ],
         targets_position=position.revision,
         store_era=position.era,
@@ -68,13 +68,13 @@
 def all_resume(table: RouteTable, name: ServiceName) -> bool:
     """Return whether every request of a service can go on at another target."""
     return all(
-        route.repeat is Repeat.RESUMABLE
+        route.retry_policy is RetryPolicy.RESUMABLE
         for route in table.routes
         if any(share.service == name for share in route.shares)
     )
 
 
-def _staying(knowledge: Knowledge, name: ServiceName) -> Sequence[TargetEntry]:
+def _staying(knowledge: RoutingView, name: ServiceName) -> Sequence[TargetEntry]:
     return [
         entry
         for entry in knowledge.targets.values()
--- a/src/lacewinggw/fleet/bounds.py
+++ b/src/lacewinggw/fleet/bounds.py
@@ -1,15 +1,15 @@
 """The bounds of a declared fleet, from the settings."""
 
-from lacewinggw.decisions.knowledge import KnowledgeRules
+from lacewinggw.decisions.routingview import RoutingViewRules
 from lacewinggw.generated.settings.ttypes import Settings
 
 MS_PER_S = 1000.0
 
 
-def knowledge_rules(settings: Settings) -> KnowledgeRules:
+def knowledge_rules(settings: Settings) -> RoutingViewRules:
     """Return the bounds on knowledge that the settings have."""
     fleet = settings.fleet
-    return KnowledgeRules(
+    return RoutingViewRules(
         revocation_s=fleet.revocation_ms / MS_PER_S,
         apply_s=fleet.apply_ms / MS_PER_S,
         lapse_s=fleet.lapse_ms / MS_PER_S,
--- a/src/lacewinggw/fleet/follower.py
+++ b/src/lacewinggw/fleet/follower.py
@@ -11,8 +11,8 @@
 
 from lacewinggw.background import Background
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.storeclock import Proof, StoreClock
-from lacewinggw.decisions.storeposition import NOWHERE, StorePosition
+from lacewinggw.decisions.storeclock import AnswerTimes, StoreClock
+from lacewinggw.decisions.storeposition import NO_POSITION, StorePosition
 from lacewinggw.errors import PlatformError
 from lacewinggw.fleet.access import StoreAccess
 from lacewinggw.fleet.era import StoreEra
@@ -22,7 +22,7 @@
 
 log = get_logger(__name__)
 
-Apply = Callable[[FeedUpdate, Proof], None]
+Apply = Callable[[FeedUpdate, AnswerTimes], None]
 
 FIRST_RETRY_S = 0.1
 # Between looks whether the topic has to be read: soon at first, as an entry that starts waits for
@@ -107,7 +107,7 @@
     @property
     def position(self) -> StorePosition:
         """How far the topic is known, as the store counts."""
-        return self._position or NOWHERE
+        return self._position or NO_POSITION
 
     @property
     def lost_since(self) -> float | None:
@@ -176,7 +176,9 @@
             self._position = max(self.position, update.position)
             self._was_read = True
             self._tell_unreadable(update)
-            self._apply(update, self._store_clock.prove(sent_at, self._clock(), update.told_s))
+            self._apply(
+                update, self._store_clock.answer_times(sent_at, self._clock(), update.told_s)
+            )
             if update.changes:
                 await asyncio.sleep(self._wait().after_update_s)
 
--- a/src/lacewinggw/frontend/admission.py
+++ b/src/lacewinggw/frontend/admission.py
@@ -10,8 +10,8 @@
 from functools import cached_property
 
 from lacewinggw.decisions.deadlines import MAX_TIME_LEFT_S
-from lacewinggw.decisions.knowledge import Knowledge
 from lacewinggw.decisions.routes import ClientAccount, Route, RouteTable, pick_service
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.errors import BadToken, NotReady, UnknownPath
 from lacewinggw.frontend.calls import Call, CallFacts
 from lacewinggw.ids import RequestDigest, ServiceName
@@ -48,7 +48,7 @@
 
 
 def admit(
-    call: Call, facts: CallFacts, knowledge: Knowledge, now: float, rng: random.Random
+    call: Call, facts: CallFacts, knowledge: RoutingView, now: float, rng: random.Random
 ) -> Admitted:
     """Return the request with its route and account; `now` is by the clock of the knowledge.
 
@@ -74,25 +74,25 @@
     )
 
 
-def _find_route(call: Call, table: RouteTable, knowledge: Knowledge, now: float) -> Route:
+def _find_route(call: Call, table: RouteTable, knowledge: RoutingView, now: float) -> Route:
     route = table.find(call.domain, call.path)
     if route is not None:
         return route
-    if not knowledge.covers_denial(now):
+    if not knowledge.can_deny_unknown(now):
         raise NotReady("the routes may have changed", retry_after_ms=CATCH_UP_MS)
     raise UnknownPath(f"no route for {call.domain}{call.path}")
 
 
 def _find_account(
-    facts: CallFacts, route: Route, table: RouteTable, knowledge: Knowledge, now: float
+    facts: CallFacts, route: Route, table: RouteTable, knowledge: RoutingView, now: float
 ) -> ClientAccount | None:
     account = table.account_of(facts.key)
     if account is None and (route.anonymous or not table.needs_key):
         return None
     if account is None:
-        if not knowledge.covers_denial(now):
+        if not knowledge.can_deny_unknown(now):
             raise NotReady("the keys may have changed", retry_after_ms=CATCH_UP_MS)
         raise BadToken("no client account holds this key")
-    if not knowledge.covers_keys(now):
+    if not knowledge.can_accept_keys(now):
         raise NotReady("keys cannot be checked: the store is out of reach", retry_after_ms=1000)
     return account
--- a/src/lacewinggw/frontend/agents.py
+++ b/src/lacewinggw/frontend/agents.py
@@ -9,9 +9,9 @@
 from lacewinggw.background import Background
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetPool
-from lacewinggw.decisions.knowledge import Knowledge
 from lacewinggw.decisions.locality import choose_agents
-from lacewinggw.decisions.pollers import rank_of
+from lacewinggw.decisions.peerselection import rendezvous_rank
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetlist import TargetEntry, make_target_id
 from lacewinggw.entry.watches import Watched, Watches
 from lacewinggw.fleet.agentupdates import FleetContent, compose_update, content_of
@@ -49,7 +49,7 @@
         me: HostId,
         place: Place,
         port: str,
-        knowledge: Knowledge,
+        knowledge: RoutingView,
         pool: TargetPool,
         departures: Departures,
         speakers: Callable[[], Sequence[HostId]],
@@ -105,7 +105,7 @@
         """Take what an agent says of its target."""
         require_sound(update)
         name = TargetName(update.name)
-        self._knowledge.note_born(name, update.born_ms)
+        self._knowledge.record_incarnation(name, update.born_ms)
         self._departures.note_known(LeavingSource.AGENT)
         target = make_target_id(name, update.born_ms)
         now = asyncio.get_running_loop().time()
@@ -159,4 +159,4 @@
         return True
 
     def _speaks_to(self, agent: HostId, speakers: Sequence[HostId]) -> bool:
-        return rank_of(f"fleet news/{agent}", self._me, speakers) < SPEAKERS
+        return rendezvous_rank(f"fleet news/{agent}", self._me, speakers) < SPEAKERS
--- a/src/lacewinggw/frontend/departures.py
+++ b/src/lacewinggw/frontend/departures.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from lacewinggw.decisions.knowledge import Knowledge
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.ids import TargetId
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: RoutingView,
         on_leaving: Callable[[], None],
         on_urgent: Callable[[], None],
         metrics: Metrics,
@@ -54,7 +54,7 @@
         """Note that a target takes no new work."""
         if target in self._knowledge.leaving:
             return
-        self._knowledge.note_leaving(target)
+        self._knowledge.mark_leaving(target)
         self.note_known(source)
 
     def note_known(self, source: LeavingSource) -> None:
--- a/src/lacewinggw/frontend/entryupdates.py
+++ b/src/lacewinggw/frontend/entryupdates.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from lacewinggw.decisions.knowledge import Knowledge
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.storeposition import StorePosition
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import Address
@@ -16,7 +16,7 @@
 
 
 def compose_entry_update(
-    knowledge: Knowledge,
+    knowledge: RoutingView,
     routes_position: StorePosition,
     targets_age_s: float,
     caller_address: Address,
@@ -33,14 +33,14 @@
         caller_address=caller_address,
         ready=ready,
         routes_version=routes.version if routes else 0,
-        routes_age_ms=_to_told_ms(knowledge.routes_age(now)),
-        routes_seen_age_ms=_to_told_ms(knowledge.routes_seen_age(now)),
+        routes_age_ms=_to_told_ms(knowledge.routes_age_s(now)),
+        routes_seen_age_ms=_to_told_ms(knowledge.routes_observed_age_s(now)),
         leaving=sorted(knowledge.leaving & knowledge.targets.keys()),
         named=[
             messages.NamedModelVersion(
-                model, due.version, round((now - due.learned_at) * MS_PER_S), due.is_guess
+                model, due.version, round((now - due.received_at) * MS_PER_S), due.is_guess
             )
-            for model, due in knowledge.named
+            for model, due in knowledge.all_required_versions
         ],
         routes_position=routes_position.revision,
         store_era=routes_position.era,
@@ -50,7 +50,7 @@
     )
 
 
-def digest_targets(knowledge: Knowledge) -> int:
+def digest_targets(knowledge: RoutingView) -> int:
     """Return a number that is the same where the same targets are known, and the same leave."""
     leaving = knowledge.leaving
     lines = (f"{target} {target in leaving}" for target in sorted(knowledge.targets))
@@ -64,7 +64,7 @@
 class PackedRoutes:
     """The routes as other entries get them: packed once a version, in parts."""
 
-    def __init__(self, knowledge: Knowledge) -> None:
+    def __init__(self, knowledge: RoutingView) -> None:
         self._knowledge = knowledge
         self._version = 0
         self._parts: Sequence[bytes] = ()
--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -10,16 +10,16 @@
 
 from lacewinggw.background import Background
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.readers import (
-    KnownEntry,
-    Self,
-    far_wait_s,
+from lacewinggw.decisions.routereaders import (
+    LocalEntry,
+    PeerEntry,
     rank_in_place,
-    reading_order,
+    reader_sort_key,
+    remote_fetch_delay_s,
 )
 from lacewinggw.decisions.routes import RouteTable
-from lacewinggw.decisions.storeposition import NOWHERE, StorePosition
+from lacewinggw.decisions.routingview import RoutingView
+from lacewinggw.decisions.storeposition import NO_POSITION, StorePosition
 from lacewinggw.errors import LacewingError, ProtocolViolation, TimedOut
 from lacewinggw.frontend.vouching import MS_PER_S, take_answer
 from lacewinggw.generated.messages import ttypes as messages
@@ -49,10 +49,10 @@
     def __init__(
         self,
         node: PeerNode,
-        me: Self,
-        knowledge: Knowledge,
+        me: LocalEntry,
+        knowledge: RoutingView,
         decode: DecodeRoutes,
-        others: Callable[[], Iterable[KnownEntry]],
+        others: Callable[[], Iterable[PeerEntry]],
         on_fetching: Callable[[], None],
         on_taken: Callable[[StorePosition], None],
         clock: Clock,
@@ -68,7 +68,7 @@
         self._clock = clock
         self._fetched = metrics.counter("routes_fetches", outcome="fetched")
         self._failed = metrics.counter("routes_fetches", outcome="failed")
-        self._holders: dict[HostId, tuple[KnownEntry, messages.EntryUpdate]] = {}
+        self._holders: dict[HostId, tuple[PeerEntry, messages.EntryUpdate]] = {}
         self._heard_version = 0
         self._wake = asyncio.Event()
         self._near_holder = asyncio.Event()
@@ -88,14 +88,14 @@
         """Stop."""
         await self._loop.close()
 
-    def note_update(self, entry: KnownEntry, update: messages.EntryUpdate) -> None:
+    def note_update(self, entry: PeerEntry, update: messages.EntryUpdate) -> None:
         """Note what an entry says that it knows; the age of it counts only when it was asked."""
         if not self._is_newer(update):
             return
         if update.routes_version > self._heard_version:
             self._heard_version = update.routes_version
             log.info("routes_heard_of", version=update.routes_version, entry=entry.host)
-        self._knowledge.take_proof(update.routes_version)
+        self._knowledge.confirm_version(update.routes_version)
         self._holders[entry.host] = (entry, update)
         if entry.place == self._me.place:
             self._near_holder.set()
@@ -107,7 +107,7 @@
         return not self._knows_named(each for each in update.named if not each.is_guess)
 
     def _knows_named(self, named: Iterable[messages.NamedModelVersion]) -> bool:
-        known = {(model, due.version) for model, due in self._knowledge.named}
+        known = {(model, due.version) for model, due in self._knowledge.all_required_versions}
         return all((each.model, each.version) in known for each in named)
 
     def _has_newer_routes(self, update: messages.EntryUpdate) -> bool:
@@ -139,7 +139,7 @@
                 has_failed = True
                 self._is_fetching = False
 
-    def _choose_holder(self) -> tuple[KnownEntry, messages.EntryUpdate] | None:
+    def _choose_holder(self) -> tuple[PeerEntry, messages.EntryUpdate] | None:
         """Return who has something newer still: one of this place if there is one."""
         for host in [
             host for host, (_, update) in self._holders.items() if not self._is_newer(update)
@@ -150,21 +150,21 @@
             key=lambda holder: (
                 not self._has_newer_routes(holder[1]),
                 holder[0].place != self._me.place,
-                reading_order(holder[0].host),
+                reader_sort_key(holder[0].host),
             ),
             default=None,
         )
 
     async def _wait_for_near_holder(self) -> None:
         self._near_holder.clear()
-        wait_s = far_wait_s(rank_in_place(self._me, self._others()))
+        wait_s = remote_fetch_delay_s(rank_in_place(self._me, self._others()))
         try:
             async with asyncio.timeout(wait_s):
                 await self._near_holder.wait()
         except TimeoutError:
             log.debug("routes_not_in_place", waited_s=wait_s)
 
-    async def _fetch(self, entry: KnownEntry) -> bool:
+    async def _fetch(self, entry: PeerEntry) -> bool:
         """Ask an entry for all that it knows; return whether it answered."""
         routes = self._knowledge.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=True)
@@ -187,10 +187,10 @@
         return True
 
     def _take_routes(
-        self, packed: bytes, update: messages.EntryUpdate, entry: KnownEntry, sent_at: float
+        self, packed: bytes, update: messages.EntryUpdate, entry: PeerEntry, sent_at: float
     ) -> None:
         table = self._decode(unpack_routes(packed))
-        if not self._knowledge.take_routes(table):
+        if not self._knowledge.update_routes(table):
             return
         log.info(
             "routes_taken",
@@ -203,7 +203,7 @@
         )
         knows_all = self._knows_named(update.named)
         position = StorePosition(update.store_era, update.routes_position)
-        self._on_taken(position if knows_all else NOWHERE)
+        self._on_taken(position if knows_all else NO_POSITION)
 
 
 async def _receive(call: OutgoingCall) -> tuple[bytes, messages.EntryUpdate]:
--- a/src/lacewinggw/frontend/jobs.py
+++ b/src/lacewinggw/frontend/jobs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from lacewinggw.decisions.routes import Repeat
+from lacewinggw.decisions.routes import RetryPolicy
 from lacewinggw.frontend.admission import Admitted
 from lacewinggw.ids import TargetId
 from lacewinggw.wire.http import Headers
@@ -44,4 +44,4 @@
         if self.runs == 0:
             return self.offers < OFFERS_MOST
         route = self.admitted.route
-        return route.repeat is not Repeat.NEVER and self.runs < route.attempts
+        return route.retry_policy is not RetryPolicy.NEVER and self.runs < route.attempts
--- a/src/lacewinggw/frontend/neighbours.py
+++ b/src/lacewinggw/frontend/neighbours.py
@@ -12,7 +12,7 @@
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.locality import ReadyEntry
-from lacewinggw.decisions.readers import READERS_PER_PLACE, KnownEntry, reading_order
+from lacewinggw.decisions.routereaders import READERS_PER_PLACE, PeerEntry, reader_sort_key
 from lacewinggw.entry.watches import Watched, Watches
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import Address, HostId, Place
@@ -33,9 +33,9 @@
     at: float
 
 
-def _known(host: HostId, heard: _Heard, now: float) -> KnownEntry:
+def _known(host: HostId, heard: _Heard, now: float) -> PeerEntry:
     update, since_s = heard.update, now - heard.at
-    return KnownEntry(
+    return PeerEntry(
         host,
         heard.place,
         heard.address,
@@ -58,7 +58,7 @@
         me: HostId,
         place: Place,
         compose: Callable[[], messages.EntryUpdate],
-        on_update: Callable[[KnownEntry, messages.EntryUpdate], None],
+        on_update: Callable[[PeerEntry, messages.EntryUpdate], None],
         greet: Callable[[], messages.CrashUpdate | None],
         clock: Clock,
         rng: random.Random,
@@ -92,7 +92,7 @@
         """Keep in touch with all entries of this place, and with those of each other that read."""
         per_place: dict[Place, int] = {}
         wanted: set[Watched] = set()
-        for member in sorted(members, key=lambda each: reading_order(each.host)):
+        for member in sorted(members, key=lambda each: reader_sort_key(each.host)):
             if member.role is not MemberRole.ENTRY or member.host == self._me:
                 continue
             count = per_place.get(member.place, 0)
@@ -151,7 +151,7 @@
             if heard.update.ready and now - heard.at < READY_S
         ]
 
-    def known(self) -> Sequence[KnownEntry]:
+    def known(self) -> Sequence[PeerEntry]:
         """Return the other entries that were heard lately."""
         now = self._clock()
         return [
--- a/src/lacewinggw/frontend/placing.py
+++ b/src/lacewinggw/frontend/placing.py
@@ -6,9 +6,9 @@
 
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetRequirements
-from lacewinggw.decisions.knowledge import Knowledge
 from lacewinggw.decisions.retries import RetryBudget
-from lacewinggw.decisions.routes import Repeat, Service
+from lacewinggw.decisions.routes import RetryPolicy, Service
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
 from lacewinggw.decisions.waitbudget import CallerTimeouts, WaitBudget, prefill_time, wait_budget
 from lacewinggw.errors import DeadlineTooNear
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: RoutingView,
         queue: RequestQueue,
         clock: Clock,
         retries: Callable[[], RetryLimits],
@@ -132,7 +132,7 @@
         model = job.admitted.facts.model
         if model is None:
             return 0
-        return self._knowledge.least_version(model, self._clock())
+        return self._knowledge.min_version(model, self._clock())
 
     def _budget(self, service: ServiceName) -> RetryBudget:
         limits = self._retries()
@@ -161,12 +161,12 @@
         rest_s = max(LEAST_S, job.admitted.deadline - _now())
         silence_s = rest_s
         route = job.admitted.route
-        if route.repeat is not Repeat.NEVER and job.runs < route.attempts:
+        if route.retry_policy is not RetryPolicy.NEVER and job.runs < route.attempts:
             silence_s = min(rest_s, max(LEAST_SILENCE_S, SILENCE_FACTOR * route.objective_s))
         begin_s = silence_s
         model = job.admitted.facts.model
         if model is not None:
-            left_s = self._knowledge.begin_by(load.entry.target, model) - self._clock()
+            left_s = self._knowledge.start_deadline(load.entry.target, model) - self._clock()
             begin_s = max(LEAST_S, min(silence_s, left_s))
         return OfferLimits(begin_s, silence_s)
 
--- a/src/lacewinggw/frontend/process.py
+++ b/src/lacewinggw/frontend/process.py
@@ -10,10 +10,10 @@
 from lacewinggw.clock import Clock, read_boot_clock
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.ejection import EjectionRules
-from lacewinggw.decisions.knowledge import Knowledge
 from lacewinggw.decisions.locality import ReadyEntry, choose_entries
-from lacewinggw.decisions.readers import KnownEntry, Self
+from lacewinggw.decisions.routereaders import LocalEntry, PeerEntry
 from lacewinggw.decisions.routes import CallerLimits
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.storeposition import StorePosition
 from lacewinggw.fleet.announcer import Announcer
 from lacewinggw.fleet.bounds import knowledge_rules
@@ -94,7 +94,7 @@
     ) -> None:
         fleet, process, entry = settings.fleet, settings.process, settings.entry
         self.metrics = Metrics()
-        self.knowledge = Knowledge(knowledge_rules(settings))
+        self.knowledge = RoutingView(knowledge_rules(settings))
         self._settings = settings
         self._adapter = adapter
         self._network = network
@@ -103,7 +103,7 @@
         self._regions = dict(_split_regions(fleet.regions))
         self._host = HostId(process.host)
         self._place = Place(process.place)
-        self._me = Self(self._host, self._place)
+        self._me = LocalEntry(self._host, self._place)
         self._leaving = False
         self._packed_routes = PackedRoutes(self.knowledge)
         self.incarnation = new_incarnation(rng)
@@ -163,7 +163,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers may be sent here."""
-        knows = self.knowledge.covers_keys(self._clock()) and self._sight.has_targets
+        knows = self.knowledge.can_accept_keys(self._clock()) and self._sight.has_targets
         return knows and not self._leaving
 
     # ---- parts ----------------------------------------------------------------------------
@@ -372,7 +372,7 @@
 
     def _show_knowledge(self) -> None:
         knowledge, metrics = self.knowledge, self.metrics
-        metrics.read_gauge("routes_age", lambda: knowledge.routes_age(self._clock()))
+        metrics.read_gauge("routes_age", lambda: knowledge.routes_age_s(self._clock()))
         metrics.read_gauge("targets_known", lambda: len(knowledge.targets))
         metrics.read_gauge(
             "routes_version", lambda: knowledge.routes.version if knowledge.routes else 0
@@ -396,12 +396,12 @@
     def _ready_hosts(self) -> Sequence[HostId]:
         return [self._host, *(entry.host for entry in self._neighbours.ready())]
 
-    def _listed(self) -> Sequence[KnownEntry] | None:
+    def _listed(self) -> Sequence[PeerEntry] | None:
         """Return the entries that the store lists; None while the list is not here."""
         if not self._sight.has_members:
             return None
         return [
-            KnownEntry(member.host, member.place, member.address)
+            PeerEntry(member.host, member.place, member.address)
             for member in self._sight.members.values()
             if member.role is MemberRole.ENTRY
         ]
@@ -481,7 +481,7 @@
             self._clock(),
         )
 
-    def _apply_update(self, entry: KnownEntry, update: messages.EntryUpdate) -> None:
+    def _apply_update(self, entry: PeerEntry, update: messages.EntryUpdate) -> None:
         """Take what other entries push; the age of the routes counts only when it was asked for."""
         self._sight.era.note(update.store_era)
         for target in update.leaving:
--- a/src/lacewinggw/frontend/reading.py
+++ b/src/lacewinggw/frontend/reading.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable, Sequence
 
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.readers import (
+from lacewinggw.decisions.routereaders import (
     READERS_PER_PLACE,
-    KnownEntry,
-    Self,
+    LocalEntry,
+    PeerEntry,
     fallback_age_s,
-    is_list_vouched,
-    is_reader,
+    is_route_reader,
+    is_target_list_confirmed,
     rank_in_place,
-    start_wait_s,
+    start_delay_s,
 )
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.frontend.entryupdates import digest_targets
 
 
@@ -27,10 +27,10 @@
 
     def __init__(
         self,
-        me: Self,
-        knowledge: Knowledge,
-        heard: Callable[[], Sequence[KnownEntry]],
-        listed: Callable[[], Sequence[KnownEntry] | None],
+        me: LocalEntry,
+        knowledge: RoutingView,
+        heard: Callable[[], Sequence[PeerEntry]],
+        listed: Callable[[], Sequence[PeerEntry] | None],
         is_fetching: Callable[[], bool],
         clock: Clock,
     ) -> None:
@@ -45,7 +45,7 @@
     @property
     def is_reader(self) -> bool:
         """Whether this entry reads for the others of its place."""
-        return is_reader(self._me, self._heard())
+        return is_route_reader(self._me, self._heard())
 
     def note_start(self) -> None:
         """Note that the process starts now."""
@@ -56,7 +56,7 @@
         rank = rank_in_place(self._me, self._heard())
         if rank < READERS_PER_PLACE:
             return True
-        return self._knowledge.routes_seen_age(self._clock()) >= fallback_age_s(rank)
+        return self._knowledge.routes_observed_age_s(self._clock()) >= fallback_age_s(rank)
 
     def reads_routes(self) -> bool:
         """Return whether this entry is to read the routes now, as nobody brings them."""
@@ -66,10 +66,10 @@
             return self.reads_often()
         listed = self._listed()
         rank = None if listed is None else rank_in_place(self._me, listed)
-        return self._clock() - self._started_at >= start_wait_s(rank)
+        return self._clock() - self._started_at >= start_delay_s(rank)
 
     def is_list_vouched(self) -> bool:
         """Return whether the list of targets need not be read now."""
         if self.reads_often():
             return False
-        return is_list_vouched(digest_targets(self._knowledge), self._heard())
+        return is_target_list_confirmed(digest_targets(self._knowledge), self._heard())
--- a/src/lacewinggw/frontend/relay.py
+++ b/src/lacewinggw/frontend/relay.py
@@ -11,7 +11,7 @@
 
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetPool
-from lacewinggw.decisions.knowledge import Knowledge
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
 from lacewinggw.errors import (
     AnswerIncomplete,
@@ -58,7 +58,7 @@
     """What a relay works with."""
 
     codec: CallCodec
-    knowledge: Knowledge
+    knowledge: RoutingView
     pool: TargetPool
     queue: RequestQueue
     placing: Placing
@@ -140,7 +140,7 @@
             runs=job.runs,
             last_event=job.last_event,
             routes=self._routes_version,
-            routes_age_ms=_to_ms(knowledge.routes_age(self._parts.clock())),
+            routes_age_ms=_to_ms(knowledge.routes_age_s(self._parts.clock())),
         )
 
     async def _end_late(self, job: Job, caller: Caller) -> None:
@@ -166,7 +166,7 @@
             error=error,
             held_ms=_to_ms(_now() - call.arrived_at),
             routes=self._routes_version,
-            routes_age_ms=_to_ms(self._parts.knowledge.routes_age(self._parts.clock())),
+            routes_age_ms=_to_ms(self._parts.knowledge.routes_age_s(self._parts.clock())),
         )
         if caller.has_begun:
             caller.close()
--- a/src/lacewinggw/frontend/sight.py
+++ b/src/lacewinggw/frontend/sight.py
@@ -9,9 +9,9 @@
 from lacewinggw.clients.membership import Member
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetPool
-from lacewinggw.decisions.knowledge import Knowledge
 from lacewinggw.decisions.routes import RouteTable
-from lacewinggw.decisions.storeclock import Proof, StoreClock
+from lacewinggw.decisions.routingview import RoutingView
+from lacewinggw.decisions.storeclock import AnswerTimes, StoreClock
 from lacewinggw.decisions.storeposition import StorePosition
 from lacewinggw.decisions.targetlist import DueVersion
 from lacewinggw.fleet.access import StoreAccess
@@ -68,7 +68,7 @@
     def __init__(
         self,
         feed: FleetFeed,
-        knowledge: Knowledge,
+        knowledge: RoutingView,
         pool: TargetPool,
         clock: Clock,
         metrics: Metrics,
@@ -93,8 +93,8 @@
         self._store_clock = StoreClock()
         self._access = StoreAccess()
         self.era = StoreEra(metrics)
-        self.era.subscribe(self._store_clock.forget)
-        self.era.subscribe(lambda: knowledge.note_outage_end(clock()))
+        self.era.subscribe(self._store_clock.reset)
+        self.era.subscribe(lambda: knowledge.record_outage_end(clock()))
         self._reads_often = reads_often
         self._on_change = on_change
         self._on_members = on_members
@@ -171,7 +171,7 @@
 
     def note_weights(self, target: TargetId, weights: Mapping[ModelName, int]) -> None:
         """Take what a target was heard to hold."""
-        if self._knowledge.note_weights(target, weights):
+        if self._knowledge.update_weights(target, weights):
             self._pool.sync(self._knowledge.targets)
 
     def _follow(
@@ -195,17 +195,17 @@
             self._access,
             is_needed,
             is_vouched,
-            on_regained=self._knowledge.note_outage_end,
+            on_regained=self._knowledge.record_outage_end,
         )
 
     def _list_wait(self) -> Wait:
         return READER_LIST_WAIT if self._reads_often() else ASKER_LIST_WAIT
 
-    def _apply_configuration(self, update: FeedUpdate, proof: Proof) -> None:
+    def _apply_configuration(self, update: FeedUpdate, proof: AnswerTimes) -> None:
         now = self._clock()
         for change in update.changes:
             match change:
-                case Put(RouteTable() as table) if self._knowledge.take_routes(table):
+                case Put(RouteTable() as table) if self._knowledge.update_routes(table):
                     log.info(
                         "routes_taken",
                         version=table.version,
@@ -214,15 +214,17 @@
                         bytes=len(table.source),
                         age_ms=round((now - proof.sent_at) * MS_PER_S),
                     )
-                case Put(DueVersion() as due) if self._knowledge.take_due(due, now, update.whole):
+                case Put(DueVersion() as due) if self._knowledge.require_version(
+                    due, now, update.whole
+                ):
                     log.info("version_due", model=due.model, version=due.version)
-        self._knowledge.prove_routes(proof.sent_at, proof.composed_at)
+        self._knowledge.confirm_routes(proof.sent_at, proof.composed_at)
         if update.changes:
             self._on_change()
         if update.changes and self._reads_often():
             self._on_urgent()
 
-    def _apply_targets(self, update: FeedUpdate, proof: Proof) -> None:
+    def _apply_targets(self, update: FeedUpdate, proof: AnswerTimes) -> None:
         take_listing(self._knowledge, update, self._clock())
         self._list_read_at = proof.sent_at
         self._has_list = self._has_list or update.whole
@@ -233,7 +235,7 @@
         self._on_change()
         self._departures.note_known(LeavingSource.LIST)
 
-    def _apply_members(self, update: FeedUpdate, _: Proof) -> None:
+    def _apply_members(self, update: FeedUpdate, _: AnswerTimes) -> None:
         self._has_members = True
         if update.restored:
             # Those that the copy lacks write themselves again; they count on, as shares go by them.
--- a/src/lacewinggw/frontend/targetrates.py
+++ b/src/lacewinggw/frontend/targetrates.py
@@ -5,7 +5,7 @@
 
 from lacewinggw.clock import Clock
 from lacewinggw.decisions.dispatch import TargetPool
-from lacewinggw.decisions.readers import KnownEntry, Self
+from lacewinggw.decisions.routereaders import LocalEntry, PeerEntry
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.decisions.targetrate import Allowance, LimitSource, entry_share
 from lacewinggw.frontend.calls import AnswerFacts
@@ -36,8 +36,8 @@
     def __init__(
         self,
         pool: TargetPool,
-        me: Self,
-        listed: Callable[[], Sequence[KnownEntry] | None],
+        me: LocalEntry,
+        listed: Callable[[], Sequence[PeerEntry] | None],
         passes_on: Callable[[], bool],
         on_change: Callable[[], None],
         clock: Clock,
@@ -64,7 +64,7 @@
         if load.rate.note_answer(facts.limit_per_s, asked_at, self._clock()):
             self._note_change(load, before)
 
-    def apply_updates(self, entry: KnownEntry, updates: Iterable[messages.TargetLimit]) -> None:
+    def apply_updates(self, entry: PeerEntry, updates: Iterable[messages.TargetLimit]) -> None:
         """Take what another entry tells; what is said of an unknown target comes again."""
         for told in updates:
             load = self._pool.loads.get(TargetId(told.target))
--- a/src/lacewinggw/frontend/vouching.py
+++ b/src/lacewinggw/frontend/vouching.py
@@ -10,8 +10,14 @@
 
 from lacewinggw.background import Background
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.knowledge import Knowledge
-from lacewinggw.decisions.readers import VOUCHED_S, KnownEntry, Self, choose_asked, is_reader
+from lacewinggw.decisions.routereaders import (
+    CONFIRMED_MAX_AGE_S,
+    LocalEntry,
+    PeerEntry,
+    choose_peers_to_query,
+    is_route_reader,
+)
+from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetlist import DueVersion
 from lacewinggw.errors import LacewingError
 from lacewinggw.frontend.departures import Departures, LeavingSource
@@ -28,10 +34,10 @@
 
 log = get_logger(__name__)
 
-Heard = Callable[[KnownEntry, messages.EntryUpdate], None]
+Heard = Callable[[PeerEntry, messages.EntryUpdate], None]
 
 
-def take_answer(knowledge: Knowledge, update: messages.EntryUpdate, sent_at: float) -> None:
+def take_answer(knowledge: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
     """Take what another entry answered to a question that was sent at a moment.
 
     Who has just started counts versions that it finds named as older than they may be. Such a guess
@@ -41,15 +47,15 @@
     """
     require_sound(update)
     for target in update.leaving:
-        knowledge.note_leaving(TargetId(target))
+        knowledge.mark_leaving(TargetId(target))
     starts = knowledge.routes is None
     for named in update.named:
         due = DueVersion(ModelName(named.model), named.version)
         if not named.is_guess:
-            knowledge.take_due(due, sent_at - named.age_ms / MS_PER_S)
+            knowledge.require_version(due, sent_at - named.age_ms / MS_PER_S)
         elif starts:
-            knowledge.take_due(due, sent_at, old=True)
-    knowledge.take_proof(
+            knowledge.require_version(due, sent_at, old=True)
+    knowledge.confirm_version(
         update.routes_version,
         sent_at - update.routes_age_ms / MS_PER_S,
         sent_at - update.routes_seen_age_ms / MS_PER_S,
@@ -62,10 +68,10 @@
     def __init__(
         self,
         node: PeerNode,
-        me: Self,
-        knowledge: Knowledge,
+        me: LocalEntry,
+        knowledge: RoutingView,
         departures: Departures,
-        others: Callable[[], Iterable[KnownEntry]],
+        others: Callable[[], Iterable[PeerEntry]],
         on_heard: Heard,
         clock: Clock,
         metrics: Metrics,
@@ -94,16 +100,16 @@
             await asyncio.sleep(ASK_S)
             if self._knows_enough:
                 continue
-            asked = choose_asked(self._me, self._others())
+            asked = choose_peers_to_query(self._me, self._others())
             await asyncio.gather(*(self._ask(entry) for entry in asked))
 
     @property
     def _knows_enough(self) -> bool:
         """Whether this entry reads the store for its place, and the store answers it."""
-        fresh = self._knowledge.routes_seen_age(self._clock()) < VOUCHED_S
-        return fresh and is_reader(self._me, self._others())
+        fresh = self._knowledge.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
+        return fresh and is_route_reader(self._me, self._others())
 
-    async def _ask(self, entry: KnownEntry) -> None:
+    async def _ask(self, entry: PeerEntry) -> None:
         routes = self._knowledge.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=False)
         sent_at = self._clock()
--- a/src/lacewinggw/lab/baselines.py
+++ b/src/lacewinggw/lab/baselines.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lacewinggw.decisions.sources import ORIGIN, Neighbour, Source
-from lacewinggw.decisions.spread import Action, ReleaseSpread
-from lacewinggw.decisions.topology import ColumnRanks, DueHost, Topology, ring_neighbours
+from lacewinggw.decisions.chunkscheduler import Action, ChunkScheduler
+from lacewinggw.decisions.chunksources import ORIGIN, Neighbour, Source
+from lacewinggw.decisions.topology import ColumnRanks, ReleaseHost, Topology, ring_neighbours
 from lacewinggw.ids import Digest, HostId, Incarnation, Place
 
 ORIGIN_IN_FLIGHT = 2
@@ -40,7 +40,7 @@
     baseline: Baseline
     local: int
 
-    def derive(self, me: DueHost, hosts: Iterable[DueHost], digest: Digest) -> Topology:
+    def derive(self, me: ReleaseHost, hosts: Iterable[ReleaseHost], digest: Digest) -> Topology:
         """Return the topology for `me` among `hosts`."""
         places = {each.host: each.place for each in {*hosts, me}}
         names = sorted(places)
@@ -62,7 +62,7 @@
         return family if parent is None else family | {names[parent]}
 
 
-class ParentSpread(ReleaseSpread):
+class ParentSpread(ChunkScheduler):
     """Take chunks in order from one parent, or from the origin."""
 
     me = HostId("")
@@ -76,7 +76,7 @@
 
     def decide(self, now: float) -> list[Action]:
         """Return what to ask for now."""
-        return [*self._find_stalls(now), *self._ask_parent(now)] if not self.complete else []
+        return [*self._find_stalls(now), *self._ask_parent(now)] if not self.is_complete else []
 
     def _ask_parent(self, now: float) -> Iterator[Action]:
         state = self.neighbours.get(self.parent) if self.parent else None
@@ -89,28 +89,28 @@
                 yield self._ask(source, index, now)
 
 
-class MeshSpread(ReleaseSpread):
+class MeshSpread(ChunkScheduler):
     """A random mesh without ranks: whoever sees no neighbour with a chunk asks the origin."""
 
-    def link_up(self, host: HostId, place: Place, incarnation: Incarnation) -> None:
+    def add_neighbour(self, host: HostId, place: Place, incarnation: Incarnation) -> None:
         """Note a neighbour, wherever it is."""
-        super().link_up(host, self._place, incarnation)
+        super().add_neighbour(host, self._place, incarnation)
 
     def decide(self, now: float) -> list[Action]:
         """Return what to ask for now."""
-        if self.complete or self._topology is None:
+        if self.is_complete or self._topology is None:
             return []
         return [*self._find_stalls(now), *self._ask_neighbours(now), *self._ask_origin(now)]
 
     def _ask_origin(self, now: float) -> Iterator[Action]:
-        absent = [index for index in self.missing if not self._holdings.is_shown(index)]
+        absent = [index for index in self.missing if not self._holdings.is_available(index)]
         absent = [index for index in absent if index not in self._fetches]
         source = self._platform.pick(now)
         if absent and source is not None and len(self._fetches) < ORIGIN_IN_FLIGHT:
             yield self._ask(source, self._rng.choice(sorted(absent)), now)
 
 
-def make_baseline_spread(baseline: Baseline, me: HostId) -> type[ReleaseSpread]:
+def make_baseline_spread(baseline: Baseline, me: HostId) -> type[ChunkScheduler]:
     """Return the class that stands in for `ReleaseSpread` on one host."""
     if baseline is Baseline.MESH:
         return MeshSpread
--- a/src/lacewinggw/lab/configplacement.py
+++ b/src/lacewinggw/lab/configplacement.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from time import time
 
-from lacewinggw.decisions.pollers import ranked
-from lacewinggw.decisions.waves import PURPOSE
+from lacewinggw.decisions.peerselection import rendezvous_order
+from lacewinggw.decisions.waves import PLACER_PURPOSE
 from lacewinggw.lab.fleet import Fleet, FleetHost, FleetPlan
 
 SERVICE, RELEASE = "bulletin-writer", "market-7"
@@ -172,7 +172,7 @@
     async def _lose_host_with_paused_entry(self) -> None:
         """Freeze the entry that would place first, and let it go on once another has."""
         names = [str(host.member.host) for host in self._fleet.entries]
-        first = ranked(PURPOSE, names)[0]
+        first = rendezvous_order(PLACER_PURPOSE, names)[0]
         entry = next(host for host in self._fleet.entries if host.member.host == first)
         self._fleet.pause(entry)
         try:
--- a/src/lacewinggw/lab/configslopes.py
+++ b/src/lacewinggw/lab/configslopes.py
@@ -6,14 +6,14 @@
 
 from dataclasses import dataclass
 
-from lacewinggw.decisions.placement import HostFact, is_whole, plan_placement
-from lacewinggw.decisions.pollers import (
-    NEIGHBOURS,
+from lacewinggw.decisions.peerselection import (
+    UPSTREAM_COUNT,
     Candidate,
-    neighbours,
-    reads_store,
-    upstream_entries,
+    is_log_reader,
+    order_agent_upstreams,
+    order_entry_upstreams,
 )
+from lacewinggw.decisions.placement import HostInfo, is_fully_placed, plan_placement
 from lacewinggw.decisions.revisions import FleetState, change_of
 from lacewinggw.entry.ledger import SAFETY_READ_TURNS
 from lacewinggw.generated.messages.ttypes import (
@@ -73,7 +73,7 @@
         choose_neighbours_us_per_entry=_neighbour_slope(),
         store_readers_at_870_entries=_readers(),
         store_reads_per_s_at_870_entries=_reads_per_s(),
-        news_copies_per_change=NEIGHBOURS,
+        news_copies_per_change=UPSTREAM_COUNT,
     )
 
 
@@ -101,9 +101,9 @@
     return state
 
 
-def _hosts(count: int) -> dict[str, HostFact]:
+def _hosts(count: int) -> dict[str, HostInfo]:
     names = (f"host-{number:05}" for number in range(count + count // 20))
-    return {name: HostFact(name, f"place-{hash_of(name) % PLACES}") for name in names}
+    return {name: HostInfo(name, f"place-{hash_of(name) % PLACES}") for name in names}
 
 
 def hash_of(name: str) -> int:
@@ -150,7 +150,7 @@
 
 def _check_slope(state: FleetState) -> float:
     hosts = _hosts(MANY)
-    return processor_us(lambda: is_whole(state, "s0", hosts, ())) / TARGETS_PER_SERVICE
+    return processor_us(lambda: is_fully_placed(state, "s0", hosts, ())) / TARGETS_PER_SERVICE
 
 
 def _candidates(count: int) -> list[Candidate]:
@@ -162,15 +162,18 @@
     entries = _candidates(ENTRIES)
     one = entries[0]
     work = processor_us(
-        lambda: (neighbours(one.host, entries), reads_store(one.host, one.place, entries))
+        lambda: (
+            order_entry_upstreams(one.host, entries),
+            is_log_reader(one.host, one.place, entries),
+        )
     )
-    upstream_entries(one.host, one.place, entries)
+    order_agent_upstreams(one.host, one.place, entries)
     return work / ENTRIES
 
 
 def _readers() -> int:
     entries = _candidates(ENTRIES)
-    return sum(reads_store(each.host, each.place, entries) for each in entries)
+    return sum(is_log_reader(each.host, each.place, entries) for each in entries)
 
 
 def _reads_per_s() -> float:
--- a/src/lacewinggw/lab/fleetmodel/engine.py
+++ b/src/lacewinggw/lab/fleetmodel/engine.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass, field
 
-from lacewinggw.decisions.routes import EngineFigures
+from lacewinggw.decisions.routes import EngineProfile
 
 
 class EngineDown(OSError):
@@ -34,7 +34,7 @@
     async for number in engine.events(job): ...
     """
 
-    def __init__(self, figures: EngineFigures, queue: int) -> None:
+    def __init__(self, figures: EngineProfile, queue: int) -> None:
         self.factor = 1.0  # how much slower than declared it works
         self.is_up = True
         self.is_loading = False
--- a/src/lacewinggw/lab/fleetmodel/fleet.py
+++ b/src/lacewinggw/lab/fleetmodel/fleet.py
@@ -8,8 +8,8 @@
 
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.ejection import EjectionRules
-from lacewinggw.decisions.knowledge import Knowledge, KnowledgeRules
 from lacewinggw.decisions.locality import choose_agents
+from lacewinggw.decisions.routingview import RoutingView, RoutingViewRules
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.frontend.callers import CallerGone
 from lacewinggw.frontend.calls import Call
@@ -57,11 +57,11 @@
         self.metrics = Metrics()
         self.pool = TargetPool(Place(place), EjectionRules(3, 1.0, 0.5), rng)
         self._serving: set[asyncio.Task[None]] = set()
-        knowledge = Knowledge(KnowledgeRules())
-        knowledge.take_routes(profile.table)
-        knowledge.prove_routes(loop_time() + 3600.0)
+        knowledge = RoutingView(RoutingViewRules())
+        knowledge.update_routes(profile.table)
+        knowledge.confirm_routes(loop_time() + 3600.0)
         for entry in entries:
-            knowledge.take_target(entry)
+            knowledge.update_target(entry)
         self.pool.sync(knowledge.targets)
         slots = ModelSlots(profile, agents, place)
         self.queue = RequestQueue(self.pool, self.metrics, slots.ask)
--- a/src/lacewinggw/lab/fleetmodel/profile.py
+++ b/src/lacewinggw/lab/fleetmodel/profile.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from lacewinggw.decisions.routes import EngineFigures, Repeat, Route, RouteTable, Service
+from lacewinggw.decisions.routes import EngineProfile, RetryPolicy, Route, RouteTable, Service
 from lacewinggw.decisions.routes import ServiceShare as Share
 from lacewinggw.ids import ModelName, RouteName, ServiceName
 
@@ -39,7 +39,7 @@
     engines: int
     places: int
     calls_per_s: float
-    figures: EngineFigures
+    figures: EngineProfile
     kinds: tuple[CallKind, ...]
     gap_s: float = 0.4
     hop_s: float = 0.0028  # one way between places
@@ -57,7 +57,7 @@
                 RouteName(kind.name),
                 DOMAIN,
                 f"/{kind.name}/",
-                Repeat.RESUMABLE,
+                RetryPolicy.RESUMABLE,
                 streams=True,
                 timeout_s=USUAL_LEFT_S,
                 objective_s=kind.objective_s,
@@ -76,7 +76,7 @@
     CallKind("note", 0.308, 2.0, 0.49, 0.4, 787, 20.3),
     CallKind("query", 0.286, 1.5, 0.37, 0.4, 607, 13.9),
 )
-BLEND_FIGURES = EngineFigures(
+BLEND_FIGURES = EngineProfile(
     slots=16,
     step_s=0.00927,
     step_per_request_s=0.0000232,
@@ -86,8 +86,8 @@
     chunk_tokens=2048,
     stride=5,
     memory_tokens=317_000,
-    usual_prompt_tokens=937,
-    usual_answer_tokens=90,
+    typical_prompt_tokens=937,
+    typical_answer_tokens=90,
 )
 
 
@@ -107,7 +107,7 @@
     CallKind("summary", 0.272, 2.2, 0.54, 0.405, 787, 21.0),
     CallKind("note", 0.334, 1.3, 0.33, 0.405, 607, 10.0),
 )
-BULLETIN_FIGURES = EngineFigures(
+BULLETIN_FIGURES = EngineProfile(
     slots=12,
     step_s=0.00673,
     step_per_request_s=0.0000219,
@@ -117,8 +117,8 @@
     chunk_tokens=2048,
     stride=7,
     memory_tokens=1_640_000,
-    usual_prompt_tokens=925,
-    usual_answer_tokens=122,
+    typical_prompt_tokens=925,
+    typical_answer_tokens=122,
 )
 HALL_KINDS = (
     CallKind("report", 0.428, 2.3, 0.57, 0.606, 1290, 14.2, longest_answer=35),
@@ -133,7 +133,7 @@
     context_s_per_kilotoken=0.0000102,
     read_tokens_per_s=20_400.0,
     pair_s_per_million=0.000971,
-    usual_answer_tokens=91,
+    typical_answer_tokens=91,
 )
 
 
--- a/src/lacewinggw/lab/slopestate.py
+++ b/src/lacewinggw/lab/slopestate.py
@@ -12,13 +12,13 @@
 )
 from lacewinggw.decisions.addresses import LiveEntry, account_entries
 from lacewinggw.decisions.affinity import PrefixIndex, preferred_target
+from lacewinggw.decisions.chunkscheduler import ChunkScheduler
+from lacewinggw.decisions.chunksources import SpreadRules
 from lacewinggw.decisions.limits import split_limit
 from lacewinggw.decisions.revisions import FleetState, change_of
 from lacewinggw.decisions.routing import RoutingContext, TargetStats, choose_target
-from lacewinggw.decisions.sources import SpreadRules
-from lacewinggw.decisions.spread import ReleaseSpread
 from lacewinggw.decisions.subsets import TargetHost, pick_subset
-from lacewinggw.decisions.topology import DueHost, TopologyPlan
+from lacewinggw.decisions.topology import ReleaseHost, TopologyRules
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.messages.ttypes import (
     CreateRelease,
@@ -55,7 +55,7 @@
 CHUNKS = (64, 512, 4096)
 NAMES = (10, 100, 400)
 REVISIONS = (100, 300, 900)
-PLAN = TopologyPlan(local=8, remote=2, columns=4, ranks=3, per_place=True)
+PLAN = TopologyRules(local=8, remote=2, columns=4, ranks=3, per_place=True)
 
 
 def measure_decisions(seed: int) -> Slopes:
@@ -151,7 +151,9 @@
 
 
 def _deriving(count: int) -> Callable[[], object]:
-    hosts = [DueHost(HostId(f"host-{n:05}"), Place(f"place-{n % PLACES}")) for n in range(count)]
+    hosts = [
+        ReleaseHost(HostId(f"host-{n:05}"), Place(f"place-{n % PLACES}")) for n in range(count)
+    ]
     return lambda: PLAN.derive(hosts[0], hosts, Digest(DIGEST))
 
 
@@ -241,6 +243,6 @@
     return _targets(count), heard
 
 
-def _spread(chunks: int) -> ReleaseSpread:
+def _spread(chunks: int) -> ChunkScheduler:
     rules = SpreadRules(link_bytes_per_s=1.25e8)
-    return ReleaseSpread([1 << 23] * chunks, rules, Place("place-7"), random.Random(1), 0.0)
+    return ChunkScheduler([1 << 23] * chunks, rules, Place("place-7"), random.Random(1), 0.0)
--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -7,10 +7,10 @@
 from collections.abc import Mapping, Sequence
 
 from lacewinggw.clock import Clock
-from lacewinggw.decisions.knowledge import Due, Knowledge, KnowledgeRules
-from lacewinggw.decisions.routes import RouteTable, WeightsFigures
-from lacewinggw.decisions.storeclock import Proof
-from lacewinggw.decisions.storeposition import NOWHERE, StorePosition
+from lacewinggw.decisions.routes import RouteTable, WeightsProfile
+from lacewinggw.decisions.routingview import RequiredVersion, RoutingView, RoutingViewRules
+from lacewinggw.decisions.storeclock import AnswerTimes
+from lacewinggw.decisions.storeposition import NO_POSITION, StorePosition
 from lacewinggw.decisions.targetlist import DueVersion, TargetEntry
 from lacewinggw.fleet.agentupdates import all_resume
 from lacewinggw.fleet.feed import FeedUpdate, Put
@@ -32,19 +32,19 @@
     """The part of the agent beside the target at `address`, of the service `name`."""
 
     def __init__(
-        self, name: ServiceName, address: Address, rules: KnowledgeRules, clock: Clock
+        self, name: ServiceName, address: Address, rules: RoutingViewRules, clock: Clock
     ) -> None:
         self.model: ModelName | None = None
-        self.figures: WeightsFigures | None = None
+        self.figures: WeightsProfile | None = None
         self.origin: Address | None = None
         self.origin_bytes_per_s = 0.0
         self.resumable = False
         self._name = name
         self._address = address
         self._clock = clock
-        self._knowledge = Knowledge(rules)
+        self._knowledge = RoutingView(rules)
         self._told_version = 0
-        self._position = NOWHERE
+        self._position = NO_POSITION
         self._heard_at = float("-inf")
         self._hosts: Mapping[HostId, Place] | None = None  # None: to be worked out anew
 
@@ -54,9 +54,9 @@
         return self._clock() - self._heard_at < FRESH_S
 
     @property
-    def due(self) -> Sequence[Due]:
+    def due(self) -> Sequence[RequiredVersion]:
         """The versions that were named, the oldest first."""
-        return self._knowledge.due_versions(self.model) if self.model else ()
+        return self._knowledge.required_versions(self.model) if self.model else ()
 
     @property
     def hosts(self) -> Mapping[HostId, Place]:
@@ -81,17 +81,17 @@
         """Return whether a target takes no new work."""
         return target in self._knowledge.leaving
 
-    def apply(self, rules: KnowledgeRules) -> None:
+    def apply(self, rules: RoutingViewRules) -> None:
         """Take in changed bounds."""
         self._knowledge.rules = rules
 
     def note_regained(self, now: float) -> None:
         """Note that the store answers again."""
-        self._knowledge.note_outage_end(now)
+        self._knowledge.record_outage_end(now)
 
     # ---- from the store -------------------------------------------------------------------
 
-    def take_configuration(self, update: FeedUpdate, _: Proof) -> None:
+    def take_configuration(self, update: FeedUpdate, _: AnswerTimes) -> None:
         """Take what the store says of routes and versions."""
         for change in update.changes:
             match change:
@@ -100,7 +100,7 @@
                 case Put(DueVersion() as due):
                     self._take_due(due, self._clock(), update.whole)
 
-    def take_targets(self, update: FeedUpdate, _: Proof) -> None:
+    def take_targets(self, update: FeedUpdate, _: AnswerTimes) -> None:
         """Take what the store says of targets."""
         self._hosts = None
         now = self._clock()
@@ -109,7 +109,7 @@
         take_listing(self._knowledge, update, now)
 
     def _take_table(self, table: RouteTable) -> None:
-        if not self._knowledge.take_routes(table):
+        if not self._knowledge.update_routes(table):
             return
         service = table.services.get(self._name)
         if service is None or service.weights is None or not service.models:
@@ -121,7 +121,7 @@
                 self.origin, self.origin_bytes_per_s = each.origin, each.origin_bytes_per_s
 
     def _take_due(self, due: DueVersion, now: float, old: bool) -> None:
-        if self._knowledge.take_due(due, now, old):
+        if self._knowledge.require_version(due, now, old):
             log.info("version_due", model=due.model, version=due.version, old=old)
 
     # ---- from entries ---------------------------------------------------------------------
@@ -146,11 +146,11 @@
         if position >= self._position:
             self._position = position
             listed = [self._listed(each) for each in update.targets]
-            self._knowledge.take_whole_list(listed, now)
+            self._knowledge.replace_targets(listed, now)
 
     def _take_figures(self, update: messages.FleetUpdate) -> None:
         self.model = ModelName(update.model)
-        self.figures = WeightsFigures(
+        self.figures = WeightsProfile(
             update.layers, update.chunks, update.chunk_bytes, update.warmup_ms / MS_PER_S
         )
         self.resumable = update.resumable
--- a/src/lacewinggw/loader/process.py
+++ b/src/lacewinggw/loader/process.py
@@ -16,14 +16,14 @@
 from lacewinggw.decisions.storeclock import StoreClock
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.decisions.upgrades import (
-    EMPTYING_S,
+    DRAIN_S,
     FIRST_VERSION,
-    Progress,
-    Upgrade,
-    UpgradePlan,
+    UpgradePlanner,
     UpgradeRules,
+    UpgradeStep,
+    VersionProgress,
 )
-from lacewinggw.decisions.yielding import live_share
+from lacewinggw.decisions.weightbandwidth import live_traffic_share
 from lacewinggw.errors import PlatformUnavailable, TargetUnreachable
 from lacewinggw.fleet.access import StoreAccess
 from lacewinggw.fleet.bounds import knowledge_rules
@@ -177,14 +177,14 @@
         self._store_read_from = clock() + rng.uniform(*ENTRY_WAIT_S)
         self._told: messages.TargetUpdate | None = None
         self._aims: _Aims | None = None
-        self._plan: tuple[UpgradeRules, frozenset[HostId], UpgradePlan] | None = None
+        self._plan: tuple[UpgradeRules, frozenset[HostId], UpgradePlanner] | None = None
         pages = HealthPages(Health(self.metrics, self._readiness))
         self._server = HttpServer(network, agent.operator_listen, pages.handle)
         part = self.assignment
         self._store_clock = StoreClock()
         self._access = StoreAccess()
         self._era = StoreEra(self.metrics)
-        self._era.subscribe(self._store_clock.forget)
+        self._era.subscribe(self._store_clock.reset)
         self._era.subscribe(lambda: part.note_regained(clock()))
         self._followers = [
             self._follow(Topic.CONFIGURATION, adapter, part.take_configuration, rng),
@@ -265,19 +265,19 @@
         copy_s = COPY_FACTOR * size / self._settings.agent.link_bytes_per_s
         return UpgradeRules(self._settings.fleet.version_ms / MS_PER_S, copy_s)
 
-    def _upgrade(self, model: ModelName) -> Upgrade:
+    def _upgrade(self, model: ModelName) -> UpgradeStep:
         """Return what is to be done for the target; one that does not answer counts as empty."""
         current = self._current(model)
         due = self.assignment.due
         versions = {FIRST_VERSION, *(each.version for each in due)}
         shares = {each: self.spreader.share_held(release_of(model, each)) for each in versions}
-        return self._make_plan().decide(current, due, Progress(shares), self._clock())
+        return self._make_plan().decide(current, due, VersionProgress(shares), self._clock())
 
-    def _make_plan(self) -> UpgradePlan:
+    def _make_plan(self) -> UpgradePlanner:
         """Return the plan among the hosts that there are: ranking 150 of them takes 0.2 ms."""
         rules, hosts = self._rules, frozenset((*self.assignment.hosts, self._host))
         if self._plan is None or self._plan[:2] != (rules, hosts):
-            self._plan = rules, hosts, UpgradePlan(rules, self._host, hosts)
+            self._plan = rules, hosts, UpgradePlanner(rules, self._host, hosts)
         return self._plan[2]
 
     def _current(self, model: ModelName) -> int | None:
@@ -350,7 +350,7 @@
         """Have weights leave answers their part of the link while the target makes any."""
         if report.running:
             link_bytes_per_s = self._settings.agent.link_bytes_per_s
-            share = live_share(report.running)
+            share = live_traffic_share(report.running)
             self.spreader.live.note_bytes(round(share * link_bytes_per_s * REPORT_S))
 
     async def _keep_loaded(self) -> None:
@@ -377,8 +377,10 @@
             if upgrade.fetch:
                 await self._loader.stage(model, upgrade.fetch[0])
             return
-        switch = Switch.CUT if upgrade.may_cut and self.assignment.resumable else Switch.FINISH
-        if switch is Switch.FINISH and not self._is_emptied(report, upgrade.order_by):
+        switch = (
+            Switch.CUT if upgrade.may_interrupt and self.assignment.resumable else Switch.FINISH
+        )
+        if switch is Switch.FINISH and not self._is_emptied(report, upgrade.load_deadline):
             return
         await self._loader.load(model, upgrade.load, switch, report)
         self._emptying_since = None
@@ -391,7 +393,7 @@
             self._emptying_since = now
             self._notify_entries()
         waited_s = now - self._emptying_since
-        return not report.running or waited_s >= EMPTYING_S or now >= order_by
+        return not report.running or waited_s >= DRAIN_S or now >= order_by
 
     def _look_after_slots(self) -> None:
         report = self._report
--- a/src/lacewinggw/operators/changes.py
+++ b/src/lacewinggw/operators/changes.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from lacewinggw.decisions.revisions import FleetState, change_of, revised
+from lacewinggw.decisions.revisions import FleetState, change_of, with_revision
 from lacewinggw.errors import AlreadyExists, InvalidChange, UnknownName
 from lacewinggw.generated.messages.ttypes import (
     Change,
@@ -124,7 +124,7 @@
         present = self._services[name.text]
         if clauses.plain and present.kind != ServiceKind.PLAIN:
             raise InvalidChange(f"service {name} serves models and cannot become plain")
-        self._keep(self._with_clauses(revised(present, present.revision), clauses))
+        self._keep(self._with_clauses(with_revision(present, present.revision), clauses))
 
     def _keep(self, service: Service) -> None:
         self._services[service.name] = service
--- a/src/lacewinggw/operators/explain.py
+++ b/src/lacewinggw/operators/explain.py
@@ -64,7 +64,7 @@
         yield f"host {host} in {member.place} is on the platform's list"
     state = view.state()
     if host in state.draining:
-        entry = state.entry_at(state.changed_at(Subject("host", host)))
+        entry = state.entry_at(state.last_changed_revision(Subject("host", host)))
         by = f" by {entry.author} at revision {entry.revision}" if entry is not None else ""
         yield f"it is drained{by}; `undrain host {host}` puts it back into use"
 
--- a/src/lacewinggw/operators/fleettables.py
+++ b/src/lacewinggw/operators/fleettables.py
@@ -6,7 +6,7 @@
 
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.decisions.commands import describe_goals
-from lacewinggw.decisions.revisions import is_placement
+from lacewinggw.decisions.revisions import is_placement_only
 from lacewinggw.errors import UnknownName
 from lacewinggw.generated.messages.ttypes import (
     LogEntry,
@@ -296,7 +296,9 @@
 def commands_table(view: FleetView) -> Table:
     """Return what operators had accepted, the newest first."""
     rows = [
-        history_row(entry) for entry in reversed(view.state().history) if not is_placement(entry)
+        history_row(entry)
+        for entry in reversed(view.state().history)
+        if not is_placement_only(entry)
     ]
     return Table(HISTORY_COLUMNS, rows)
 
--- a/src/lacewinggw/operators/progress.py
+++ b/src/lacewinggw/operators/progress.py
@@ -66,7 +66,7 @@
 def progress_of(service: Service, view: FleetView) -> ServiceProgress:
     """Return how far a service is from its declaration."""
     state = view.state()
-    hosts = state.goals_of(service.name)
+    hosts = state.final_releases_of(service.name)
     heard = view.heartbeats()
     releases = []
     for goal in service.goals:
@@ -88,7 +88,7 @@
         return False
     if service.kind == ServiceKind.PLAIN:
         return True
-    release = state.goals_of(service.name).get(host, "")
+    release = state.final_releases_of(service.name).get(host, "")
     return heartbeat.digest == state.release_digest(release)
 
 
--- a/src/lacewinggw/operators/queries.py
+++ b/src/lacewinggw/operators/queries.py
@@ -50,7 +50,7 @@
     revision = state.revision_of_command(command_id)
     entry = state.entry_at(revision) if revision is not None else None
     if entry is None:
-        oldest = state.remembers_after
+        oldest = state.history_base_revision
         return Lines(
             (
                 f"command {command_id} is not among revisions {oldest + 1} to {state.revision}",
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -9,8 +9,8 @@
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.clients.objects import ObjectClient
 from lacewinggw.clients.table import TableClient
-from lacewinggw.decisions.hosts import Heard
-from lacewinggw.decisions.pollers import Candidate
+from lacewinggw.decisions.hostfailures import HeartbeatTimes
+from lacewinggw.decisions.peerselection import Candidate
 from lacewinggw.decisions.revisions import change_of
 from lacewinggw.entry.ledger import Ledger
 from lacewinggw.entry.placer import Placer
@@ -84,7 +84,7 @@
                 self.config,
                 self.peer,
                 lambda: fleet.members,
-                lambda: Heard(self.heard),
+                lambda: HeartbeatTimes(self.heard),
                 lambda: self.beats,
                 self.metrics,
                 self.rng,
--- a/tests/fleet/spread_links.py
+++ b/tests/fleet/spread_links.py
@@ -12,9 +12,14 @@
 from dataclasses import dataclass, field
 
 from lacewinggw.agent.uploads import SMALLEST_SLICE_BYTES, UPLOADS_AT_ONCE
-from lacewinggw.decisions.sources import ORIGIN, FetchFailure, Neighbour, Source, SpreadRules
-from lacewinggw.decisions.spread import TICK_S, Ask, Cancel, ReleaseSpread
-from lacewinggw.decisions.topology import DueHost, TopologyPlan
+from lacewinggw.decisions.chunkscheduler import (
+    DECIDE_INTERVAL_S,
+    CancelRequest,
+    ChunkScheduler,
+    RequestChunk,
+)
+from lacewinggw.decisions.chunksources import ORIGIN, FetchFailure, Neighbour, Source, SpreadRules
+from lacewinggw.decisions.topology import ReleaseHost, TopologyRules
 from lacewinggw.decisions.uploads import UploadQueue, UploadRequest
 from lacewinggw.ids import Digest, HostId, Incarnation, Place
 
@@ -26,7 +31,7 @@
 SLICES = CHUNK_BYTES // SMALLEST_SLICE_BYTES
 ORIGIN_BYTES_PER_S = 1_237_500  # 9.9 Mbit/s
 LATENCY_S = 0.002
-PLAN = TopologyPlan(local=8, remote=2, columns=8, ranks=3, per_place=False)
+PLAN = TopologyRules(local=8, remote=2, columns=8, ranks=3, per_place=False)
 RULES = SpreadRules(
     link_bytes_per_s=WEIGHTS_SHARE * LINK_BYTES_PER_S,
     in_flight=1,
@@ -61,8 +66,8 @@
 class Host:
     """One host: its decisions, its link and what it has to send."""
 
-    due: DueHost
-    spread: ReleaseSpread
+    due: ReleaseHost
+    spread: ChunkScheduler
     rate: Rate
     queue: UploadQueue = field(default_factory=lambda: UploadQueue(2))
     turns: deque[Upload] = field(default_factory=deque)
@@ -86,7 +91,7 @@
         places: Mapping[str, int],
         rates: Mapping[str, Rate] | None = None,
         seed: int = 1,
-        plan: TopologyPlan = PLAN,
+        plan: TopologyRules = PLAN,
         rules: SpreadRules = RULES,
         uploads_at_once: int = UPLOADS_AT_ONCE,
         origin_away: tuple[float, float] = (0.0, 0.0),
@@ -103,13 +108,13 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._from_origin: deque[OriginSend] = deque()
         dues = [
-            DueHost(HostId(f"{place}-{number}"), Place(place))
+            ReleaseHost(HostId(f"{place}-{number}"), Place(place))
             for place, count in places.items()
             for number in range(count)
         ]
         self.hosts: dict[HostId, Host] = {}
         for due in dues:
-            spread = ReleaseSpread([CHUNK_BYTES] * CHUNKS, rules, due.place, self._rng, 0.0)
+            spread = ChunkScheduler([CHUNK_BYTES] * CHUNKS, rules, due.place, self._rng, 0.0)
             spread.set_topology(plan.derive(due, dues, DIGEST), 0.0)
             rate = (rates or {}).get(due.host, lambda now: LINK_BYTES_PER_S)
             self.hosts[due.host] = Host(due, spread, rate)
@@ -123,7 +128,7 @@
     def run(self, until_s: float = 60.0) -> None:
         """Run until every host has the release, or for `until_s`."""
         for host in self.hosts.values():
-            self._at(self._rng.random() * TICK_S, lambda host=host: self._tick(host))
+            self._at(self._rng.random() * DECIDE_INTERVAL_S, lambda host=host: self._tick(host))
         while self._events and any(each.completed_at is None for each in self.hosts.values()):
             self.now, _, event = heapq.heappop(self._events)
             if self.now > until_s:
@@ -133,27 +138,27 @@
     def _at(self, delay_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay_s, next(self._numbers), event))
 
-    def _link_all(self, dues: list[DueHost], plan: TopologyPlan) -> None:
+    def _link_all(self, dues: list[ReleaseHost], plan: TopologyRules) -> None:
         wished = {due.host: plan.derive(due, dues, DIGEST).neighbours for due in dues}
         for due in dues:
             for other in dues:
                 if other.host in wished[due.host] or due.host in wished[other.host]:
                     spread = self.hosts[due.host].spread
-                    spread.link_up(other.host, other.place, Incarnation("first"))
-                    spread.have(other.host, (), 0.0)
+                    spread.add_neighbour(other.host, other.place, Incarnation("first"))
+                    spread.record_held_chunks(other.host, (), 0.0)
 
     def _tick(self, host: Host) -> None:
         self._decide(host)
-        self._at(TICK_S, lambda: self._tick(host))
+        self._at(DECIDE_INTERVAL_S, lambda: self._tick(host))
 
     def _decide(self, host: Host) -> None:
         for action in host.spread.decide(self.now):
             match action:
-                case Ask(Neighbour(name), index):
+                case RequestChunk(Neighbour(name), index):
                     self._at(LATENCY_S, lambda n=name, i=index: self._queue(n, host, i))
-                case Ask(_, index):
+                case RequestChunk(_, index):
                     self._send_from_origin(host, index)
-                case Cancel(Neighbour(name), index):
+                case CancelRequest(Neighbour(name), index):
                     request = UploadRequest(host.due.host, DIGEST, index)
                     self.hosts[name].queue.cancel(request)
 
@@ -161,7 +166,7 @@
         gone_at, back_at = self._origin_away
         if gone_at <= self.now < back_at:
             lost = FetchFailure.LOST
-            self._at(LATENCY_S, lambda: host.spread.failed(ORIGIN, index, lost, self.now))
+            self._at(LATENCY_S, lambda: host.spread.record_failure(ORIGIN, index, lost, self.now))
             return
         self.origin_chunks += 1
         self._from_origin.append(OriginSend(host, index))
@@ -191,7 +196,7 @@
             return
         source = Neighbour(name)
         busy = FetchFailure.BUSY
-        self._at(LATENCY_S, lambda: receiver.spread.failed(source, index, busy, self.now))
+        self._at(LATENCY_S, lambda: receiver.spread.record_failure(source, index, busy, self.now))
 
     def _send_next(self, sender: Host) -> None:
         if sender.sending:
@@ -234,14 +239,16 @@
             return
         if isinstance(source, Neighbour):
             self.border_chunks += self.hosts[source.host].due.place != host.due.place
-        host.spread.arrived(source, index, self.now)
-        if host.spread.complete:
+        host.spread.record_arrival(source, index, self.now)
+        if host.spread.is_complete:
             host.completed_at = self.now
         for name in list(host.spread.neighbours):
             other = self.hosts[name]
             waiting = len(host.queue)
             self._at(
                 LATENCY_S,
-                lambda o=other, w=waiting: o.spread.have(host.due.host, [index], self.now, w),
+                lambda o=other, w=waiting: o.spread.record_held_chunks(
+                    host.due.host, [index], self.now, w
+                ),
             )
         self._decide(host)
