--- a/tests/fleet/test_adapter.py
+++ b/tests/fleet/test_adapter.py
@@ -9,7 +9,7 @@
 from lacewinggw_platform.store import PlatformStore
 from platform_standins import BORN_MS, KEY, LLM, ORIGIN, manifest, target_row
 
-from lacewinggw.decisions.routes import Repeat
+from lacewinggw.decisions.routes import RetryPolicy
 from lacewinggw.decisions.storeposition import StorePosition
 from lacewinggw.decisions.targetlist import TargetPhase, make_target_id
 from lacewinggw.errors import MalformedHttp, PlatformError, PlatformUnavailable
@@ -51,10 +51,14 @@
     table = decode_routes(encoded(manifest(7)))
     report = table.find("notes.example", "/report/1")
     assert table.version == 7 and table.needs_key
-    assert (report.repeat, report.streams, report.attempts) == (Repeat.RESUMABLE, True, 2)
+    assert (report.retry_policy, report.streams, report.attempts) == (
+        RetryPolicy.RESUMABLE,
+        True,
+        2,
+    )
     assert (report.timeout_s, report.objective_s, report.gap_s) == (6.0, 0.4, 0.3)
-    assert table.find("notes.example", "/sheet/1").repeat is Repeat.NEVER
-    assert table.find("notes.example", "/tally/1").repeat is Repeat.IDEMPOTENT
+    assert table.find("notes.example", "/sheet/1").retry_policy is RetryPolicy.NEVER
+    assert table.find("notes.example", "/tally/1").retry_policy is RetryPolicy.IDEMPOTENT
     assert table.account_of(KEY).name == "growers"
     assert table.services["ledger"].origin == ORIGIN
     assert table.services["ledger"].origin_bytes_per_s == pytest.approx(9.9 * 125_000)
@@ -65,7 +69,7 @@
 def test_a_stream_that_may_not_be_resumed_is_never_repeated():
     value = manifest(7)
     value["Routes"][0]["ResumeStreams"] = False
-    assert decode_routes(encoded(value)).routes[0].repeat is Repeat.NEVER
+    assert decode_routes(encoded(value)).routes[0].retry_policy is RetryPolicy.NEVER
 
 
 def test_routes_without_keys_need_none():
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewinggw.decisions.knowledge import Knowledge, KnowledgeRules
+from lacewinggw.decisions.routingview import RoutingView, RoutingViewRules
 from lacewinggw.frontend.departures import Departures, LeavingSource
 from lacewinggw.metrics import Metrics
 
@@ -21,7 +21,7 @@
 def test_only_who_finds_out_first_tells_other_entries_at_once(source, told):
     calls = []
     departures = Departures(
-        Knowledge(KnowledgeRules()),
+        RoutingView(RoutingViewRules()),
         lambda: calls.append("leaving"),
         lambda: calls.append("urgent"),
         Metrics(),
--- a/tests/fleet/test_narrow_border.py
+++ b/tests/fleet/test_narrow_border.py
@@ -18,7 +18,7 @@
 from declared_fleet import running_fleet, store_reads
 from platform_standins import KEY, MODEL, manifest
 
-from lacewinggw.decisions.readers import reading_order
+from lacewinggw.decisions.routereaders import reader_sort_key
 from lacewinggw.lab.standin import wait_while
 
 pytestmark = pytest.mark.looptime
@@ -125,7 +125,7 @@
 async def test_entries_whose_readers_fall_silent_do_not_all_read_at_once():
     """Two readers of eight freeze, and nobody beyond the border answers either."""
     async with parted_fleet({"hall": 1, "room": 8}, 1_000_000) as fleet:
-        here = sorted(range(2, 10), key=lambda number: reading_order(f"entry-{number}"))
+        here = sorted(range(2, 10), key=lambda number: reader_sort_key(f"entry-{number}"))
         rest = here[2:]
         for number in here:
             fleet.network.cut("10.1.0.1", f"10.1.0.{number}")
--- a/tests/fleet/test_narrow_link.py
+++ b/tests/fleet/test_narrow_link.py
@@ -5,22 +5,22 @@
 import pytest
 from spread_links import CHUNKS, LINK_BYTES_PER_S, LinkedHosts
 
-from lacewinggw.decisions.sources import Neighbour, SpreadRules
-from lacewinggw.decisions.spread import Ask, ReleaseSpread
-from lacewinggw.decisions.topology import DueHost, TopologyPlan
+from lacewinggw.decisions.chunkscheduler import ChunkScheduler, RequestChunk
+from lacewinggw.decisions.chunksources import Neighbour, SpreadRules
+from lacewinggw.decisions.topology import ReleaseHost, TopologyRules
 
 CHUNK_BYTES = 32768
 RULES = SpreadRules(link_bytes_per_s=408_000, in_flight=1, in_flight_total=3, has_store=False)
-PLAN = TopologyPlan(local=8, remote=2, columns=2, ranks=3, per_place=False)
+PLAN = TopologyRules(local=8, remote=2, columns=2, ranks=3, per_place=False)
 
 
 def spread_among(count):
-    hosts = [DueHost(f"host-{number}", "hall") for number in range(count)]
-    spread = ReleaseSpread([CHUNK_BYTES] * 64, RULES, "hall", random.Random(1), 0.0)
+    hosts = [ReleaseHost(f"host-{number}", "hall") for number in range(count)]
+    spread = ChunkScheduler([CHUNK_BYTES] * 64, RULES, "hall", random.Random(1), 0.0)
     spread.set_topology(PLAN.derive(hosts[0], hosts, "release"), 0.0)
     for host in hosts[1:]:
-        spread.link_up(host.host, host.place, "first")
-        spread.have(host.host, range(64), 0.0)
+        spread.add_neighbour(host.host, host.place, "first")
+        spread.record_held_chunks(host.host, range(64), 0.0)
     return spread
 
 
@@ -29,13 +29,13 @@
     spread = spread_among(6)
     now, asked = 0.0, []
     for _ in range(12):
-        asked += [action for action in spread.decide(now) if isinstance(action, Ask)]
+        asked += [action for action in spread.decide(now) if isinstance(action, RequestChunk)]
         now += fetch_s
         for ask in asked:
             assert isinstance(ask.source, Neighbour)
-            spread.arrived(ask.source, ask.index, now)
+            spread.record_arrival(ask.source, ask.index, now)
         asked = []
-    return len([action for action in spread.decide(now) if isinstance(action, Ask)])
+    return len([action for action in spread.decide(now) if isinstance(action, RequestChunk)])
 
 
 @pytest.mark.parametrize(("fetch_s", "count"), [(0.08, 3), (0.3, 3), (0.6, 1), (1.5, 1)])
@@ -46,14 +46,16 @@
 def test_one_late_chunk_stops_further_ones_at_once():
     spread = spread_among(6)
     assert len(spread.decide(0.0)) == 3
-    spread.arrived(Neighbour("host-1"), next(iter(spread.neighbours["host-1"].asked)), 0.08)
+    spread.record_arrival(
+        Neighbour("host-1"), next(iter(spread.neighbours["host-1"].requested)), 0.08
+    )
     assert spread.decide(0.9) == []
 
 
 def test_no_second_copy_is_asked_for_over_a_narrow_link():
     spread = spread_among(6)
     for index in range(62):
-        spread.arrived(None, index, 0.0)
+        spread.record_arrival(None, index, 0.0)
     first = spread.decide(0.0)
     assert {ask.index for ask in first} == {62, 63}
     assert spread.decide(0.9) == []
@@ -66,7 +68,7 @@
     for _ in range(20):
         now += 0.15
         for ask in [each for each in asked if each.source != slow.source]:
-            spread.arrived(ask.source, ask.index, now)
+            spread.record_arrival(ask.source, ask.index, now)
         asked = [slow, *spread.decide(now)]
     assert len(asked) == 1 + 3  # the slow source's chunk fills nothing of the link
 
@@ -74,8 +76,8 @@
 def test_the_only_source_that_is_waited_for_does_not_keep_others_from_being_asked():
     spread = spread_among(2)
     assert len(spread.decide(0.0)) == 1
-    spread.link_up("host-9", "hall", "first")
-    spread.have("host-9", range(64), 1.0)
+    spread.add_neighbour("host-9", "hall", "first")
+    spread.record_held_chunks("host-9", range(64), 1.0)
     assert Neighbour("host-9") in [ask.source for ask in spread.decide(1.0)]
 
 
--- a/tests/fleet/test_punctuality.py
+++ b/tests/fleet/test_punctuality.py
@@ -2,13 +2,20 @@
 
 import pytest
 
-from lacewinggw.decisions.routes import EngineFigures, Repeat, Route, ServiceShare
+from lacewinggw.decisions.routes import EngineProfile, RetryPolicy, Route, ServiceShare
 from lacewinggw.decisions.waitbudget import CallerTimeouts, wait_budget
 from lacewinggw.decisions.waitqueue import WaitQueue
 
-ENGINE = EngineFigures(16, 0.00673, 0.0000219, 0.0, 30600.0, 0.0, 2048, 6, 1_640_000, 964, 119)
+ENGINE = EngineProfile(16, 0.00673, 0.0000219, 0.0, 30600.0, 0.0, 2048, 6, 1_640_000, 964, 119)
 REPORT = Route(
-    "report", "notes.example", "/", Repeat.RESUMABLE, True, 6.0, 0.4, (ServiceShare("writer", 1),)
+    "report",
+    "notes.example",
+    "/",
+    RetryPolicy.RESUMABLE,
+    True,
+    6.0,
+    0.4,
+    (ServiceShare("writer", 1),),
 )
 
 
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -4,7 +4,7 @@
 
 from lacewinggw.decisions.routes import (
     ClientAccount,
-    Repeat,
+    RetryPolicy,
     Route,
     RouteTable,
     ServiceShare,
@@ -14,7 +14,7 @@
 
 def route(name, domain, prefix, *shares):
     parts = tuple(ServiceShare(service, weight) for service, weight in shares or [("desk", 1)])
-    return Route(name, domain, prefix, Repeat.IDEMPOTENT, False, 1.0, 0.2, parts)
+    return Route(name, domain, prefix, RetryPolicy.IDEMPOTENT, False, 1.0, 0.2, parts)
 
 
 TABLE = RouteTable(
--- a/tests/fleet/test_store_return.py
+++ b/tests/fleet/test_store_return.py
@@ -81,11 +81,11 @@
             fleet.network.heal("10.1.0.4", other)
         await asyncio.sleep(3.0)
         for entry in fleet.entries[:3]:
-            (_, due), *_ = entry.knowledge.named
-            assert due.version == 2 and due.learned_at >= returned_at - 0.1
-        (_, due), *_ = fleet.entries[3].knowledge.named
+            (_, due), *_ = entry.knowledge.all_required_versions
+            assert due.version == 2 and due.received_at >= returned_at - 0.1
+        (_, due), *_ = fleet.entries[3].knowledge.all_required_versions
         assert due.version == 2
-        assert due.is_guess if is_alone else due.learned_at >= returned_at - 0.1
+        assert due.is_guess if is_alone else due.received_at >= returned_at - 0.1
 
 
 @pytest.mark.parametrize("outage", [Outage.REFUSE, Outage.CUT])
--- a/tests/fleet/test_storeclock.py
+++ b/tests/fleet/test_storeclock.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewinggw.decisions.storeclock import KEPT_S, StoreClock
+from lacewinggw.decisions.storeclock import DIFFERENCE_RETENTION_S, StoreClock
 
 AHEAD_S = 5000.0  # of the store's clock
 
@@ -13,14 +13,14 @@
 
 def test_an_answer_that_was_waited_for_is_as_new_as_its_end():
     clock = StoreClock()
-    clock.place(10.0, 10.004, told(10.002))
-    assert clock.place(11.0, 12.204, told(12.202)) == pytest.approx(12.2)
+    clock.estimate_composed_at(10.0, 10.004, told(10.002))
+    assert clock.estimate_composed_at(11.0, 12.204, told(12.202)) == pytest.approx(12.2)
 
 
 def test_an_answer_that_was_held_up_is_as_old_as_it_is():
     clock = StoreClock()
-    clock.place(10.0, 10.004, told(10.002))
-    assert clock.place(11.0, 17.0, told(11.5)) == pytest.approx(11.498)
+    clock.estimate_composed_at(10.0, 10.004, told(10.002))
+    assert clock.estimate_composed_at(11.0, 17.0, told(11.5)) == pytest.approx(11.498)
 
 
 def test_nothing_is_placed_later_than_it_was_composed():
@@ -30,23 +30,23 @@
     for out_s, wait_s, back_s in [(2.0, 0.0, 0.1), (0.3, 1.2, 3.0), (0.0, 1.0, 0.0), (1.0, 0.1, 2)]:
         composed = moment + out_s + wait_s
         received = composed + back_s
-        placed = clock.place(moment, received, told(composed))
+        placed = clock.estimate_composed_at(moment, received, told(composed))
         assert moment <= placed <= composed + 1e-6
         moment = received
 
 
 def test_without_the_stores_clock_an_answer_is_as_old_as_its_call():
-    assert StoreClock().place(10.0, 11.0, None) == 10.0
+    assert StoreClock().estimate_composed_at(10.0, 11.0, None) == 10.0
 
 
 def test_calls_long_ago_do_not_count_as_clocks_drift():
     clock = StoreClock()
-    clock.place(10.0, 10.0, told(10.0))
-    late = 10.0 + KEPT_S + 1
-    assert clock.place(late, late + 2.0, told(late + 1.0)) == late
+    clock.estimate_composed_at(10.0, 10.0, told(10.0))
+    late = 10.0 + DIFFERENCE_RETENTION_S + 1
+    assert clock.estimate_composed_at(late, late + 2.0, told(late + 1.0)) == late
 
 
 def test_an_answer_is_never_newer_than_its_arrival():
     clock = StoreClock()
-    clock.place(10.0, 10.0, told(10.0))
-    assert clock.place(11.0, 11.5, told(900.0)) == 11.5
+    clock.estimate_composed_at(10.0, 10.0, told(10.0))
+    assert clock.estimate_composed_at(11.0, 11.5, told(900.0)) == 11.5
--- a/tests/fleet/test_targetrate.py
+++ b/tests/fleet/test_targetrate.py
@@ -10,7 +10,7 @@
 
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.ejection import EjectionRules
-from lacewinggw.decisions.readers import KnownEntry, Self
+from lacewinggw.decisions.routereaders import LocalEntry, PeerEntry
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.decisions.targetrate import (
@@ -86,9 +86,9 @@
     assert allowance.opens_at(90.0) == pytest.approx(91.0)
 
 
-def entries_of(count: int, places: int = 3) -> list[KnownEntry]:
+def entries_of(count: int, places: int = 3) -> list[PeerEntry]:
     return [
-        KnownEntry(f"entry-{number}", f"place-{number % places}", f"10.1.0.{number}:7700")
+        PeerEntry(f"entry-{number}", f"place-{number % places}", f"10.1.0.{number}:7700")
         for number in range(count)
     ]
 
@@ -129,7 +129,7 @@
         now += 0.05
         if rng.random() < 0.01 or not allowances:
             entries.pop(rng.randrange(len(entries)))
-            entries.append(KnownEntry(f"late-{now}", "place-1", "10.1.0.200:7700"))
+            entries.append(PeerEntry(f"late-{now}", "place-1", "10.1.0.200:7700"))
             holders = choose_holders("target", "place-1", per_s, entries)
             for each in entries:
                 share = max(per_s, MIN_RATE_PER_S) / len(holders) if each.host in holders else 0.0
@@ -149,8 +149,8 @@
     now = asyncio.get_running_loop().time
     rates = TargetRates(
         pool,
-        Self("entry-0", "hall"),
-        lambda: [KnownEntry("entry-0", "hall", "10.1.0.1:7700")],
+        LocalEntry("entry-0", "hall"),
+        lambda: [PeerEntry("entry-0", "hall", "10.1.0.1:7700")],
         lambda: False,
         lambda: told.append(now()),
         now,
--- a/tests/fleet/test_vouching.py
+++ b/tests/fleet/test_vouching.py
@@ -7,14 +7,14 @@
 from declared_fleet import running_fleet, store_reads
 from platform_standins import DESK, LLM, manifest, target_row
 
-from lacewinggw.decisions.readers import (
-    LIST_VOUCHED_S,
-    KnownEntry,
-    Self,
-    choose_asked,
-    is_list_vouched,
-    is_reader,
-    reading_order,
+from lacewinggw.decisions.routereaders import (
+    LIST_CONFIRMED_MAX_AGE_S,
+    LocalEntry,
+    PeerEntry,
+    choose_peers_to_query,
+    is_route_reader,
+    is_target_list_confirmed,
+    reader_sort_key,
 )
 from lacewinggw.errors import ProtocolViolation
 from lacewinggw.wire.packing import ROUTES_LIMIT_BYTES, pack_routes, unpack_routes
@@ -22,7 +22,7 @@
 pytestmark = pytest.mark.looptime
 
 ENTRIES = [
-    KnownEntry(f"entry-{number}", "hall" if number < 4 else "room", f"10.1.0.{number}:7700")
+    PeerEntry(f"entry-{number}", "hall" if number < 4 else "room", f"10.1.0.{number}:7700")
     for number in range(8)
 ]
 
@@ -33,19 +33,21 @@
 
 def test_two_entries_a_place_read():
     readers = [
-        entry for entry in ENTRIES if is_reader(Self(entry.host, entry.place), others(entry.host))
+        entry
+        for entry in ENTRIES
+        if is_route_reader(LocalEntry(entry.host, entry.place), others(entry.host))
     ]
     assert sorted(entry.place for entry in readers) == ["hall", "hall", "room", "room"]
 
 
 def test_one_near_and_one_far_are_asked():
-    asked = choose_asked(Self("entry-0", "hall"), others("entry-0"))
+    asked = choose_peers_to_query(LocalEntry("entry-0", "hall"), others("entry-0"))
     assert [entry.place for entry in asked] == ["hall", "room"]
 
 
 def test_an_entry_that_is_alone_asks_nobody_and_reads():
-    assert choose_asked(Self("entry-0", "hall"), []) == []
-    assert is_reader(Self("entry-0", "hall"), [])
+    assert choose_peers_to_query(LocalEntry("entry-0", "hall"), []) == []
+    assert is_route_reader(LocalEntry("entry-0", "hall"), [])
 
 
 async def test_an_entry_that_the_store_turns_away_serves_on():
@@ -86,7 +88,7 @@
         await asyncio.sleep(4.0)
         fleet.network.let_go("10.1.0.2")
         await asyncio.sleep(0.1)
-        age_s = fleet.entries[0].knowledge.routes_age(asyncio.get_running_loop().time())
+        age_s = fleet.entries[0].knowledge.routes_age_s(asyncio.get_running_loop().time())
         assert age_s > 3.5
 
 
@@ -134,7 +136,7 @@
         await asyncio.sleep(0.6)  # the reader lets changes gather for 0.4 s
         for entry in fleet.entries:
             assert entry.knowledge.routes.version == 4
-            assert [due.version for _, due in entry.knowledge.named] == [2]
+            assert [due.version for _, due in entry.knowledge.all_required_versions] == [2]
 
 
 async def test_large_routes_cross_a_border_once_a_place():
@@ -169,7 +171,7 @@
         for number in range(1, 9):
             await fleet.add_entry(number, "hall" if number <= 4 else "room")
         await asyncio.sleep(6.0)
-        here = sorted(range(1, 5), key=lambda number: reading_order(f"entry-{number}"))[:out]
+        here = sorted(range(1, 5), key=lambda number: reader_sort_key(f"entry-{number}"))[:out]
         for number in here:
             fleet.network.cut(f"10.1.0.{number}", "10.9.0.1")
         await asyncio.sleep(0.3)
@@ -188,7 +190,7 @@
         entry = await fleet.add_entry(3)
         await asyncio.sleep(3.0)
         assert entry.knowledge.routes.version == 2
-        assert entry.knowledge.covers_keys(asyncio.get_running_loop().time())
+        assert entry.knowledge.can_accept_keys(asyncio.get_running_loop().time())
 
 
 # 98 entries read the whole list of targets every 1.2 s, as each heartbeat of a target changes it:
@@ -227,8 +229,9 @@
 
 
 @pytest.mark.parametrize(
-    ("digest", "age_s", "vouched"), [(7, 0.5, True), (7, LIST_VOUCHED_S, False), (8, 0.5, False)]
+    ("digest", "age_s", "vouched"),
+    [(7, 0.5, True), (7, LIST_CONFIRMED_MAX_AGE_S, False), (8, 0.5, False)],
 )
 def test_who_has_read_the_same_list_lately_vouches_for_it(digest, age_s, vouched):
-    other = KnownEntry("b", "hall", "10.1.0.2:7700", targets_age_s=age_s, targets_digest=digest)
-    assert is_list_vouched(7, [other]) is vouched
+    other = PeerEntry("b", "hall", "10.1.0.2:7700", targets_age_s=age_s, targets_digest=digest)
+    assert is_target_list_confirmed(7, [other]) is vouched
--- a/tests/machines/test_spread_machine.py
+++ b/tests/machines/test_spread_machine.py
@@ -7,9 +7,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from lacewinggw.decisions.sources import FetchFailure, Neighbour, SpreadRules
-from lacewinggw.decisions.spread import TICK_S, Ask, Cancel, ReleaseSpread
-from lacewinggw.decisions.topology import DueHost, TopologyPlan
+from lacewinggw.decisions.chunkscheduler import (
+    DECIDE_INTERVAL_S,
+    CancelRequest,
+    ChunkScheduler,
+    RequestChunk,
+)
+from lacewinggw.decisions.chunksources import FetchFailure, Neighbour, SpreadRules
+from lacewinggw.decisions.topology import ReleaseHost, TopologyRules
 from lacewinggw.ids import Digest, HostId, Incarnation, Place
 
 HOSTS = 5
@@ -26,14 +31,14 @@
 class Host:
     """One host, its decisions and what it has asked for."""
 
-    due: DueHost
-    spread: ReleaseSpread
+    due: ReleaseHost
+    spread: ChunkScheduler
     incarnation: Incarnation
-    asked: list[Ask] = field(default_factory=list)
+    asked: list[RequestChunk] = field(default_factory=list)
 
 
-def due_host(number: int) -> DueHost:
-    return DueHost(HostId(f"host-{number}"), Place(f"place-{number % PLACES}"))
+def due_host(number: int) -> ReleaseHost:
+    return ReleaseHost(HostId(f"host-{number}"), Place(f"place-{number % PLACES}"))
 
 
 class SpreadMachine(RuleBasedStateMachine):
@@ -44,7 +49,7 @@
         self.now = 0.0
         self.seed = seed
         self.rules = SpreadRules(link_bytes_per_s=100_000.0)
-        self.plan = TopologyPlan(local=3, remote=1, columns=2, ranks=2, per_place=per_place)
+        self.plan = TopologyRules(local=3, remote=1, columns=2, ranks=2, per_place=per_place)
         self.hosts = [self.make_host(number) for number in range(HOSTS)]
         self.link_all()
 
@@ -52,7 +57,7 @@
         due = due_host(number)
         rng = random.Random(f"{self.seed}/{number}/{self.now}")
         sizes = [CHUNK_BYTES] * CHUNKS
-        spread = ReleaseSpread(sizes, self.rules, due.place, rng, self.now)
+        spread = ChunkScheduler(sizes, self.rules, due.place, rng, self.now)
         everyone = [due_host(each) for each in range(HOSTS)]
         spread.set_topology(self.plan.derive(due, everyone, DIGEST), self.now)
         return Host(due, spread, Incarnation(f"{number} from {self.now}"))
@@ -62,33 +67,33 @@
         for host in self.hosts:
             for other in self.hosts:
                 if other is not host:
-                    host.spread.link_up(other.due.host, other.due.place, other.incarnation)
-                    host.spread.have(other.due.host, other.spread.held, self.now)
+                    host.spread.add_neighbour(other.due.host, other.due.place, other.incarnation)
+                    host.spread.record_held_chunks(other.due.host, other.spread.held, self.now)
 
     @rule(ticks=st.integers(1, 30))
     def advance(self, ticks: int) -> None:
         for _ in range(ticks):
-            self.now += TICK_S
+            self.now += DECIDE_INTERVAL_S
             for host in self.hosts:
                 self.decide(host)
 
     def decide(self, host: Host) -> None:
         for action in host.spread.decide(self.now):
             match action:
-                case Ask():
+                case RequestChunk():
                     self.check_ask(host, action)
                     host.asked.append(action)
-                case Cancel(source, index):
+                case CancelRequest(source, index):
                     self.drop(host, source, index)
 
-    def check_ask(self, host: Host, ask: Ask) -> None:
+    def check_ask(self, host: Host, ask: RequestChunk) -> None:
         assert ask.index in host.spread.missing, "asked for what it holds"
         if isinstance(ask.source, Neighbour):
             holder = self.host_named(ask.source.host)
             assert holder is not host, "asked itself"
             state = host.spread.neighbours[ask.source.host]
             assert ask.index in state.chunks, "asked a neighbour that never showed the chunk"
-            assert len(state.asked) <= self.rules.in_flight
+            assert len(state.requested) <= self.rules.in_flight
 
     def host_named(self, name: str) -> Host:
         return next(host for host in self.hosts if host.due.host == name)
@@ -102,23 +107,23 @@
         if host.asked:
             self.deliver_ask(host, host.asked.pop(pick % len(host.asked)))
 
-    def deliver_ask(self, host: Host, ask: Ask) -> None:
+    def deliver_ask(self, host: Host, ask: RequestChunk) -> None:
         holder = self.host_named(ask.source.host) if isinstance(ask.source, Neighbour) else None
         if holder is not None and ask.index not in holder.spread.held:
-            host.spread.failed(ask.source, ask.index, FetchFailure.REFUSED, self.now)
+            host.spread.record_failure(ask.source, ask.index, FetchFailure.REFUSED, self.now)
             return
-        for cancel in host.spread.arrived(ask.source, ask.index, self.now):
+        for cancel in host.spread.record_arrival(ask.source, ask.index, self.now):
             self.drop(host, cancel.source, cancel.index)
         for other in self.hosts:
             if other is not host:
-                other.spread.have(host.due.host, [ask.index], self.now)
+                other.spread.record_held_chunks(host.due.host, [ask.index], self.now)
 
     @rule(which=hosts, failure=st.sampled_from(list(FetchFailure)))
     def fail(self, which: int, failure: FetchFailure) -> None:
         host = self.hosts[which]
         if host.asked:
             ask = host.asked.pop(0)
-            host.spread.failed(ask.source, ask.index, failure, self.now)
+            host.spread.record_failure(ask.source, ask.index, failure, self.now)
 
     @rule(which=hosts)
     def lose(self, which: int) -> None:
@@ -131,7 +136,7 @@
         """A host dies and another takes its place, empty."""
         lost = self.hosts[which].due.host
         for host in self.hosts:
-            host.spread.link_down(lost)
+            host.spread.remove_neighbour(lost)
             host.asked = [ask for ask in host.asked if ask.source != Neighbour(lost)]
         self.hosts[which] = self.make_host(which)
         self.link_all()
@@ -140,7 +145,9 @@
     def claim_falsely(self, which: int, other: int, indexes: list[int]) -> None:
         """A neighbour announces chunks that it does not hold, or that do not exist."""
         if which != other:
-            self.hosts[which].spread.have(self.hosts[other].due.host, indexes, self.now)
+            self.hosts[which].spread.record_held_chunks(
+                self.hosts[other].due.host, indexes, self.now
+            )
 
     @invariant()
     def holds_or_misses_each_chunk(self) -> None:
@@ -157,10 +164,10 @@
             for host in self.hosts:
                 while host.asked:
                     self.deliver_ask(host, host.asked.pop(0))
-            if all(host.spread.complete for host in self.hosts):
+            if all(host.spread.is_complete for host in self.hosts):
                 return
         missing = {host.due.host: host.spread.missing for host in self.hosts}
-        raise AssertionError(f"after {LIMIT_TICKS * TICK_S} s still missing: {missing}")
+        raise AssertionError(f"after {LIMIT_TICKS * DECIDE_INTERVAL_S} s still missing: {missing}")
 
 
 TestSpreadMachine = SpreadMachine.TestCase
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -1,11 +1,11 @@
 """A service moves to another release: hosts load it first and change over in their turn."""
 
 from lacewinggw.agent.process import due_releases, wanted_of
-from lacewinggw.decisions.placement import HostFact, plan_placement
+from lacewinggw.decisions.placement import HostInfo, plan_placement
 from lacewinggw.decisions.revisions import FleetState, change_of
 from lacewinggw.generated.messages import ttypes as messages
 
-HOSTS = {f"host-{number}": HostFact(f"host-{number}", "kgn-hall-a") for number in range(6)}
+HOSTS = {f"host-{number}": HostInfo(f"host-{number}", "kgn-hall-a") for number in range(6)}
 
 
 def accept(state, *contents):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -76,7 +76,7 @@
     for revision in range(1, HISTORY_LENGTH + 10):
         state.apply(LogEntry(revision, f"c{revision}", "a", 0, 0, [release(f"m{revision}")], ""))
     assert state.revision_of_command("c1") is None
-    assert state.remembers_after == 9
+    assert state.history_base_revision == 9
     async with running(entries=1) as fleet:
         fleet.entries[0].ledger._replica.adopt(state.to_snapshot())
         entry = fleet.entries[0]
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -18,7 +18,7 @@
 from lacewinggw.clients.membership import MemberState, member_from_json
 from lacewinggw.configuration.replica import Replica
 from lacewinggw.decisions import outcomes
-from lacewinggw.decisions.lifecycle import Wanted
+from lacewinggw.decisions.lifecycle import DesiredState
 from lacewinggw.entry import requests
 from lacewinggw.entry.process import EntryProcess
 from lacewinggw.errors import AnswerIncomplete, TargetRefused
@@ -40,7 +40,7 @@
         self._chunks[chunk_hash] = data
         return True
 
-    async def load_and_activate(self: TargetKeeper, wanted: Wanted, digest: Digest) -> None:
+    async def load_and_activate(self: TargetKeeper, wanted: DesiredState, digest: Digest) -> None:
         await load(self, wanted, digest)
         await self._order(ActivateOrder(digest))
         await asyncio.sleep(1.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from lacewinggw.decisions.commands import check_command
-from lacewinggw.decisions.hosts import Heard, HostWatch
-from lacewinggw.decisions.placement import HostFact, PlacementPlan, is_whole, plan_placement
+from lacewinggw.decisions.hostfailures import HeartbeatTimes, HostFailureDetector
+from lacewinggw.decisions.placement import HostInfo, PlacementPlan, is_fully_placed, plan_placement
 from lacewinggw.decisions.revisions import (
     FleetState,
     change_of,
     declares_any,
-    moves_placements,
+    may_change_placements,
 )
 from lacewinggw.errors import ConfigurationConflict
 from lacewinggw.generated.messages.ttypes import (
@@ -28,11 +28,11 @@
     SetDrain,
 )
 
-Hosts = dict[str, HostFact]
+Hosts = dict[str, HostInfo]
 
 
 def make_hosts(count: int, places: str = "abc") -> Hosts:
-    return {f"h{n}": HostFact(f"h{n}", places[n % len(places)]) for n in range(count)}
+    return {f"h{n}": HostInfo(f"h{n}", places[n % len(places)]) for n in range(count)}
 
 
 def state_of(*changes: Change) -> FleetState:
@@ -53,7 +53,9 @@
         accept(state, *(change_of(each) for each in plan.places))
     assert plan_placement(state, hosts, lost).places == []
     short = {each.service for each in plan.shortfalls}
-    assert all(is_whole(state, name, hosts, lost) for name in state.services if name not in short)
+    assert all(
+        is_fully_placed(state, name, hosts, lost) for name in state.services if name not in short
+    )
     return plan
 
 
@@ -120,10 +122,10 @@
     def entry(*changes: Change) -> list[LogEntry]:
         return [LogEntry(1, "c", "test", 0, 0, list(changes), "")]
 
-    assert not moves_placements(entry(release("m"), service("desk", ("m", 2))))
-    assert moves_placements(entry(release("m"), drain("h1")))
-    assert moves_placements(entry(change_of(Place("desk", [], "test", []))))
-    assert moves_placements([])
+    assert not may_change_placements(entry(release("m"), service("desk", ("m", 2))))
+    assert may_change_placements(entry(release("m"), drain("h1")))
+    assert may_change_placements(entry(change_of(Place("desk", [], "test", []))))
+    assert may_change_placements([])
     assert declares_any(entry(service("desk", ("m", 2))), {"desk"})
     assert not declares_any(entry(service("desk", ("m", 2))), {"other"})
 
@@ -145,7 +147,7 @@
     place(state, hosts)
     first, second, *_ = state.placed_hosts()
     accept(state, drain(first))
-    hosts[second] = HostFact(second, hosts[second].place, leaving=True)
+    hosts[second] = HostInfo(second, hosts[second].place, is_leaving=True)
     plan = place(state, hosts)
     assert moves(plan) == 2
     assert len(state.hosts_of("desk")) == 4
@@ -165,7 +167,7 @@
     plain = change_of(PutService(Service("ledger", ServiceKind.PLAIN, [ReplicaGoal("", 2)])))
     state = state_of(plain, release("m"), service("desk", ("m", 3)))
     hosts = make_hosts(4)
-    hosts |= {f"p{n}": HostFact(f"p{n}", "a", service="ledger") for n in range(3)}
+    hosts |= {f"p{n}": HostInfo(f"p{n}", "a", service="ledger") for n in range(3)}
     place(state, hosts)
     assert len(state.hosts_of("ledger")) == 2
     assert all(host.startswith("p") for host in state.hosts_of("ledger"))
@@ -207,7 +209,7 @@
                 lost.add(f"h{number}")
                 hosts.pop(f"h{number}", None)
             case "add":
-                hosts[f"n{number}"] = HostFact(f"n{number}", "abc"[number % 3])
+                hosts[f"n{number}"] = HostInfo(f"n{number}", "abc"[number % 3])
         before = whole_assignments(state)
         plan = place(state, hosts, frozenset(lost))
         assert all(len(state.assignments_of(host)) == 1 for host in state.placed_hosts())
@@ -216,7 +218,9 @@
             missing = {
                 each.release: each.missing for each in plan.shortfalls if each.service == name
             }
-            live = Counter(r for host, r in state.goals_of(name).items() if host not in lost)
+            live = Counter(
+                r for host, r in state.final_releases_of(name).items() if host not in lost
+            )
             for release_name, replicas in wanted.items():
                 assert live[release_name] == replicas - missing.get(release_name, 0)
         touched = {each.host for p in plan.places for each in p.assignments}
@@ -240,39 +244,39 @@
 
 
 def test_a_host_missing_from_the_list_but_heard_is_not_lost() -> None:
-    watch = HostWatch(dead_after_s=10)
+    watch = HostFailureDetector(dead_after_s=10)
     for now in range(60):
-        watch.observe(PLACED[1:], PLACED, now)
-        assert watch.lost(Heard(dict.fromkeys(PLACED, now)), PLACED, now) == set()
+        watch.update_listed(PLACED[1:], PLACED, now)
+        assert watch.find_dead(HeartbeatTimes(dict.fromkeys(PLACED, now)), PLACED, now) == set()
 
 
 def test_a_host_missing_and_silent_is_lost_once_both_have_lasted() -> None:
-    watch = HostWatch(dead_after_s=10)
-    watch.observe(PLACED, PLACED, 0)
-    heard = Heard({"h0": 0.0} | dict.fromkeys(PLACED[1:], 30.0))
-    assert watch.lost(heard, PLACED, 25) == set()
-    watch.observe(PLACED[1:], PLACED, 25)
-    assert watch.lost(heard, PLACED, 26) == set()
-    assert watch.lost(heard, PLACED, 27.5) == {"h0"}
+    watch = HostFailureDetector(dead_after_s=10)
+    watch.update_listed(PLACED, PLACED, 0)
+    heard = HeartbeatTimes({"h0": 0.0} | dict.fromkeys(PLACED[1:], 30.0))
+    assert watch.find_dead(heard, PLACED, 25) == set()
+    watch.update_listed(PLACED[1:], PLACED, 25)
+    assert watch.find_dead(heard, PLACED, 26) == set()
+    assert watch.find_dead(heard, PLACED, 27.5) == {"h0"}
 
 
 def test_hosts_lost_within_a_moment_are_lost_together() -> None:
-    watch = HostWatch(dead_after_s=10)
-    watch.observe(PLACED[1:], PLACED, 0)
-    watch.observe(PLACED[2:], PLACED, 1.5)
-    assert watch.lost(Heard({}), PLACED, 9.9) == set()
-    assert watch.lost(Heard({}), PLACED, 10) == {"h0", "h1"}
+    watch = HostFailureDetector(dead_after_s=10)
+    watch.update_listed(PLACED[1:], PLACED, 0)
+    watch.update_listed(PLACED[2:], PLACED, 1.5)
+    assert watch.find_dead(HeartbeatTimes({}), PLACED, 9.9) == set()
+    assert watch.find_dead(HeartbeatTimes({}), PLACED, 10) == {"h0", "h1"}
 
 
 def test_who_hears_nobody_takes_itself_for_cut_off() -> None:
-    watch = HostWatch(dead_after_s=10)
-    watch.observe(PLACED[3:], PLACED, 0)
-    heard = Heard(dict.fromkeys(PLACED, 0.0))
-    assert watch.lost(heard, PLACED, 30) == set()
+    watch = HostFailureDetector(dead_after_s=10)
+    watch.update_listed(PLACED[3:], PLACED, 0)
+    heard = HeartbeatTimes(dict.fromkeys(PLACED, 0.0))
+    assert watch.find_dead(heard, PLACED, 30) == set()
 
 
 def test_an_empty_list_is_not_believed() -> None:
-    watch = HostWatch(dead_after_s=10)
-    watch.observe([], PLACED, 0)
-    assert watch.lost(Heard({}), PLACED, 100) == set()
+    watch = HostFailureDetector(dead_after_s=10)
+    watch.update_listed([], PLACED, 0)
+    assert watch.find_dead(HeartbeatTimes({}), PLACED, 100) == set()
     assert watch.missing == frozenset()
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -11,9 +11,9 @@
 
 from lacewinggw.clients.membership import MemberState
 from lacewinggw.clients.table import TableClient
-from lacewinggw.decisions.pollers import ranked
-from lacewinggw.decisions.revisions import is_placement
-from lacewinggw.entry.placer import PURPOSE
+from lacewinggw.decisions.peerselection import rendezvous_order
+from lacewinggw.decisions.revisions import is_placement_only
+from lacewinggw.entry.placer import PLACER_PURPOSE
 from lacewinggw.errors import UnsupportedMessage
 from lacewinggw.generated.messages.ttypes import LogEntry
 from lacewinggw.lab.standin import Outage
@@ -120,7 +120,7 @@
 
 async def test_one_entry_places_all_that_was_declared() -> None:
     async with open_hall() as hall:
-        placements = [entry for entry in hall.placements if is_placement(entry)]
+        placements = [entry for entry in hall.placements if is_placement_only(entry)]
         assert len(placements) == 1
         assert hall.moves_since(0) == 4 * SERVICES
 
@@ -211,7 +211,9 @@
 async def test_the_next_entry_places_when_the_first_is_gone() -> None:
     async with open_hall() as hall:
         names = [entry.name for entry in hall.fleet.entries]
-        first = next(e for e in hall.fleet.entries if e.name == ranked(PURPOSE, names)[0])
+        first = next(
+            e for e in hall.fleet.entries if e.name == rendezvous_order(PLACER_PURPOSE, names)[0]
+        )
         assert first.placer is not None
         await first.placer.close()
         before = hall.revision()
@@ -236,7 +238,9 @@
 async def test_a_paused_entry_that_resumes_does_not_bring_its_old_placement_back() -> None:
     async with open_hall() as hall:
         names = [entry.name for entry in hall.fleet.entries]
-        paused = next(e for e in hall.fleet.entries if e.name == ranked(PURPOSE, names)[0])
+        paused = next(
+            e for e in hall.fleet.entries if e.name == rendezvous_order(PLACER_PURPOSE, names)[0]
+        )
         gate = Gate(paused.table)
         await hall.lose(placed_agents(hall)[0])
         await hall.until_whole(4)
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lacewinggw.decisions.topology import DueHost, Topology, TopologyPlan
+from lacewinggw.decisions.topology import ReleaseHost, Topology, TopologyRules
 from lacewinggw.decisions.uploads import UploadQueue, UploadRequest
 from lacewinggw.ids import Digest, HostId, Place
 
@@ -12,12 +12,12 @@
 COLUMNS = 4
 
 
-def make_hosts(count: int, places: int) -> list[DueHost]:
-    return [DueHost(HostId(f"h{n:03}"), Place(f"p{n % places}")) for n in range(count)]
+def make_hosts(count: int, places: int) -> list[ReleaseHost]:
+    return [ReleaseHost(HostId(f"h{n:03}"), Place(f"p{n % places}")) for n in range(count)]
 
 
-def derive_all(hosts: list[DueHost], per_place: bool = False) -> dict[HostId, Topology]:
-    plan = TopologyPlan(local=8, remote=2, columns=COLUMNS, ranks=3, per_place=per_place)
+def derive_all(hosts: list[ReleaseHost], per_place: bool = False) -> dict[HostId, Topology]:
+    plan = TopologyRules(local=8, remote=2, columns=COLUMNS, ranks=3, per_place=per_place)
     return {each.host: plan.derive(each, hosts, DIGEST) for each in hosts}
 
 
--- a/tests/test_waves.py
+++ b/tests/test_waves.py
@@ -3,14 +3,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lacewinggw.decisions.waves import HostProgress, choose_wave, floor_of
+from lacewinggw.decisions.waves import HostProgress, choose_wave, min_serving_hosts
 
-WAITING = HostProgress(turning=True, ready=False, serving=True)
-READY = HostProgress(turning=True, ready=True, serving=True)
-READY_IDLE = HostProgress(turning=True, ready=True, serving=False)
-CHANGING = HostProgress(turning=False, ready=False, serving=False)
-EMPTY = HostProgress(turning=True, ready=False, serving=False, empty=True)
-DONE = HostProgress(turning=False, ready=False, serving=True)
+WAITING = HostProgress(is_changing_over=True, is_ready=False, is_serving=True)
+READY = HostProgress(is_changing_over=True, is_ready=True, is_serving=True)
+READY_IDLE = HostProgress(is_changing_over=True, is_ready=True, is_serving=False)
+CHANGING = HostProgress(is_changing_over=False, is_ready=False, is_serving=False)
+EMPTY = HostProgress(is_changing_over=True, is_ready=False, is_serving=False, is_empty=True)
+DONE = HostProgress(is_changing_over=False, is_ready=False, is_serving=True)
 
 
 def fleet(*kinds):
@@ -18,7 +18,12 @@
 
 
 def test_floor_spares_at_least_one():
-    assert [floor_of(8, 50), floor_of(8, 100), floor_of(1, 50), floor_of(3, 50)] == [4, 7, 0, 2]
+    assert [
+        min_serving_hosts(8, 50),
+        min_serving_hosts(8, 100),
+        min_serving_hosts(1, 50),
+        min_serving_hosts(3, 50),
+    ] == [4, 7, 0, 2]
 
 
 def test_nobody_is_ready():
@@ -51,7 +56,7 @@
 
 
 def test_one_host_that_serves_or_is_not_heard_of_keeps_the_others_to_their_release():
-    unheard = HostProgress(turning=True, ready=False, serving=False)
+    unheard = HostProgress(is_changing_over=True, is_ready=False, is_serving=False)
     for other in (WAITING, unheard, DONE):
         assert choose_wave("writer", fleet(*[EMPTY] * 7, other), 50, 9.0) == ()
 
@@ -69,9 +74,9 @@
 def test_the_floor_holds_whatever_the_hosts_do(kinds, floor_percent, waited_s):
     progress = fleet(*kinds)
     wave = choose_wave("writer", progress, floor_percent, waited_s)
-    serving = sum(1 for each in progress.values() if each.serving)
-    taken = sum(1 for host in wave if progress[host].serving)
+    is_serving = sum(1 for each in progress.values() if each.is_serving)
+    taken = sum(1 for host in wave if progress[host].is_serving)
     none_has_begun = bool(kinds) and all(kind is EMPTY for kind in kinds)
-    assert all(progress[host].turning for host in wave)
-    assert none_has_begun or all(progress[host].ready for host in wave)
-    assert taken == 0 or serving - taken >= floor_of(len(progress), floor_percent)
+    assert all(progress[host].is_changing_over for host in wave)
+    assert none_has_begun or all(progress[host].is_ready for host in wave)
+    assert taken == 0 or is_serving - taken >= min_serving_hosts(len(progress), floor_percent)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -7,45 +7,49 @@
 import pytest
 
 from lacewinggw.agent.links import LiveGauge, Pacer
-from lacewinggw.decisions.yielding import YieldPolicy, YieldRules, live_share
+from lacewinggw.decisions.weightbandwidth import (
+    WeightBandwidthLimiter,
+    WeightBandwidthRules,
+    live_traffic_share,
+)
 
 LINK = 1_000_000.0
-RULES = YieldRules(link_bytes_per_s=LINK, share=0.7)
+RULES = WeightBandwidthRules(link_bytes_per_s=LINK, share=0.7)
 WARM_S, RUN_S = 10.0, 40.0
 LIVE_BYTES = 4000
 SLICE_BYTES = 4000
 
 
 def test_live_bytes_are_left_out_of_what_weights_may_take() -> None:
-    policy = YieldPolicy(RULES, 0.0)
-    assert policy.rate(0.1) == pytest.approx(0.7 * LINK)
-    policy.note_bytes(300_000)
-    assert policy.rate(0.6) == pytest.approx(LINK - 1.1 * 500_000, rel=0.01)
+    policy = WeightBandwidthLimiter(RULES, 0.0)
+    assert policy.allowed_bytes_per_s(0.1) == pytest.approx(0.7 * LINK)
+    policy.record_live_bytes(300_000)
+    assert policy.allowed_bytes_per_s(0.6) == pytest.approx(LINK - 1.1 * 500_000, rel=0.01)
 
 
 def test_latency_cuts_the_rate_to_the_floor_and_lets_it_rise_again() -> None:
-    policy = YieldPolicy(RULES, 0.0)
+    policy = WeightBandwidthLimiter(RULES, 0.0)
     for number in range(20):
-        policy.note_latency(0.010, float(number) / 10)
+        policy.record_latency(0.010, float(number) / 10)
     now = 10.0
     for _ in range(200):
         now += 0.1
-        policy.rate(now)
-        policy.note_latency(0.050, now)
-    assert policy.rate(now) == pytest.approx(RULES.floor * LINK)
+        policy.allowed_bytes_per_s(now)
+        policy.record_latency(0.050, now)
+    assert policy.allowed_bytes_per_s(now) == pytest.approx(RULES.floor * LINK)
     for _ in range(200):
         now += 0.1
-        policy.rate(now)
-        policy.note_latency(0.010, now)
-    assert policy.rate(now) == pytest.approx(0.7 * LINK)
+        policy.allowed_bytes_per_s(now)
+        policy.record_latency(0.010, now)
+    assert policy.allowed_bytes_per_s(now) == pytest.approx(0.7 * LINK)
 
 
 def test_without_a_latency_to_compare_with_only_the_share_binds() -> None:
-    policy = YieldPolicy(RULES, 0.0)
+    policy = WeightBandwidthLimiter(RULES, 0.0)
     for number in range(100):
-        policy.rate(number / 10)
-        policy.note_latency(5.0, number / 10)
-    assert policy.rate(10.0) == pytest.approx(0.7 * LINK)
+        policy.allowed_bytes_per_s(number / 10)
+        policy.record_latency(5.0, number / 10)
+    assert policy.allowed_bytes_per_s(10.0) == pytest.approx(0.7 * LINK)
 
 
 class SharedLink:
@@ -111,7 +115,7 @@
 
 
 def test_more_requests_are_left_more_of_the_link():
-    assert [live_share(running) for running in (0, 4, 16)] == [
+    assert [live_traffic_share(running) for running in (0, 4, 16)] == [
         0.0,
         pytest.approx(0.114),
         pytest.approx(0.186),
