--- a/src/lacewinggw/agent/bitmaps.py
+++ b/src/lacewinggw/agent/bitmaps.py
@@ -2,19 +2,22 @@
 
 from collections.abc import Iterable
 
-BITS = 8
+BITS_PER_BYTE = 8
 
 
 def encode_bitmap(indexes: Iterable[int], count: int) -> bytes:
     """Return the bitmap of `indexes` among `count` chunks."""
-    bits = bytearray((count + BITS - 1) // BITS)
+    bits = bytearray((count + BITS_PER_BYTE - 1) // BITS_PER_BYTE)
     for index in indexes:
-        bits[index // BITS] |= 1 << index % BITS
+        bits[index // BITS_PER_BYTE] |= 1 << index % BITS_PER_BYTE
     return bytes(bits)
 
 
 def decode_bitmap(bitmap: bytes) -> list[int]:
     """Return the indexes that a bitmap stands for; some may be beyond the last chunk."""
     return [
-        at * BITS + bit for at, byte in enumerate(bitmap) for bit in range(BITS) if byte >> bit & 1
+        at * BITS_PER_BYTE + bit
+        for at, byte in enumerate(bitmap)
+        for bit in range(BITS_PER_BYTE)
+        if byte >> bit & 1
     ]
--- a/src/lacewinggw/agent/downloads.py
+++ b/src/lacewinggw/agent/downloads.py
@@ -8,7 +8,7 @@
 
 from lacewinggw.agent.bitmaps import decode_bitmap, encode_bitmap
 from lacewinggw.agent.chunks import ChunkStore
-from lacewinggw.agent.failures import failure_of, retry_reason
+from lacewinggw.agent.failures import classify_failure, retry_reason
 from lacewinggw.agent.links import Pacer
 from lacewinggw.agent.mesh import Mesh
 from lacewinggw.decisions.chunkscheduler import CancelRequest, ChunkScheduler, RequestChunk
@@ -32,7 +32,7 @@
 from lacewinggw.metrics import Metrics, RetryReason
 from lacewinggw.wire.peers import Identity
 
-NAMED_CHUNKS = 5
+MISSING_CHUNKS_LISTED = 5
 
 log = get_logger(__name__)
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class DownloadContext:
     """What the downloads of all releases share; `make_spread` builds the policy of one release."""
 
     metrics: Metrics
@@ -97,24 +97,24 @@
     def __init__(
         self,
         manifest: messages.Manifest,
-        around: Surroundings,
+        context: DownloadContext,
         on_chunk: OnChunk,
-        waiting: Callable[[], int],
+        count_waiting_uploads: Callable[[], int],
     ) -> None:
         self.manifest = manifest
         self.digest = Digest(manifest.digest)
         self.traffic = Traffic()
         self.complete = asyncio.Event()
-        self._around = around
+        self._context = context
         self._on_chunk = on_chunk
-        self._waiting = waiting
-        self._spread = around.make_spread(
-            manifest.chunk_sizes, around.rules, around.place, around.rng, _now()
+        self._count_waiting_uploads = count_waiting_uploads
+        self._spread = context.make_spread(
+            manifest.chunk_sizes, context.rules, context.place, context.rng, _now()
         )
         self._started_at = _now()
         self._ended_at: float | None = None
         self._fetches: dict[tuple[Source, int], asyncio.Task[None]] = {}
-        self._fresh: list[int] = []
+        self._unannounced: list[int] = []
         self._sequence = 0
         self._closed = False
 
@@ -128,22 +128,22 @@
         self._closed = True
         for (source, index), task in list(self._fetches.items()):
             task.cancel()
-            self._tell_cancelled(source, index)
+            self._notify_cancelled(source, index)
         self._fetches.clear()
 
-    def begin(self) -> None:
+    def add_shared_chunks(self) -> None:
         """Count in the chunks that another release brought already."""
         for index, chunk_hash in enumerate(self.manifest.chunk_hashes):
-            if chunk_hash in self._around.chunks:
-                self._take(None, index)
+            if chunk_hash in self._context.chunks:
+                self._add_chunk(None, index)
 
-    async def take_local(self, local: LocalChunks) -> None:
+    async def add_local_chunks(self, local: LocalChunks) -> None:
         """Count in the chunks that lie on this host and whose hash holds."""
         for index, data in (await local.read(self.digest)).items():
             if index >= self._spread.chunk_count or index in self._spread.held:
                 continue
-            if await self._around.chunks.put(self.manifest.chunk_hashes[index], data):
-                self._take(None, index)
+            if await self._context.chunks.put(self.manifest.chunk_hashes[index], data):
+                self._add_chunk(None, index)
 
     def set_topology(self, topology: Topology) -> None:
         """Take a new view of the hosts due the release."""
@@ -152,50 +152,53 @@
 
     # ---- neighbours -----------------------------------------------------------------------
 
-    def greet(self, host: HostId) -> None:
+    def request_have_map(self, host: HostId) -> None:
         """Tell a neighbour what is here, and ask it for the same."""
-        link = self._around.mesh.link(host)
+        link = self._context.mesh.link(host)
         if link is not None:
-            link.notify(self._whole_have(wants_reply=True))
+            link.notify(self._full_have_map(wants_reply=True))
 
-    def greet_silent(self, hosts: frozenset[HostId]) -> None:
+    def request_missing_have_maps(self, hosts: frozenset[HostId]) -> None:
         """Greet those of `hosts` that have not said what they hold."""
         for host in hosts:
             state = self._spread.neighbours.get(host)
             if state is None or not state.has_reported:
-                self.greet(host)
+                self.request_have_map(host)
 
     def neighbour_down(self, host: HostId) -> None:
         """Forget a neighbour whose link is gone."""
         self._spread.remove_neighbour(host)
         self.advance()
 
-    def take_have(self, remote: Identity, have: messages.Have) -> None:
+    def handle_have(self, remote: Identity, have: messages.Have) -> None:
         """Note what a neighbour says it holds."""
         host = HostId(remote.host)
         self._spread.add_neighbour(host, Place(remote.place), Incarnation(remote.incarnation))
         indexes = decode_bitmap(have.bitmap) if have.bitmap is not None else have.added or []
         self._spread.record_held_chunks(host, indexes, _now(), have.waiting)
-        link = self._around.mesh.link(host)
+        link = self._context.mesh.link(host)
         if have.wants_reply and link is not None:
-            link.notify(self._whole_have(wants_reply=False))
+            link.notify(self._full_have_map(wants_reply=False))
         self.advance()
 
     def announce(self) -> None:
         """Tell the neighbours of the chunks that came since the last time."""
-        fresh, self._fresh = self._fresh, []
+        fresh, self._unannounced = self._unannounced, []
         if not fresh:
             return
         for host, state in self._spread.neighbours.items():
             update = [index for index in fresh if index not in state.chunks]
-            link = self._around.mesh.link(host)
+            link = self._context.mesh.link(host)
             if update and link is not None:
                 have = messages.Have(
-                    self.digest, self._next_sequence(), added=update, waiting=self._waiting()
+                    self.digest,
+                    self._next_sequence(),
+                    added=update,
+                    waiting=self._count_waiting_uploads(),
                 )
                 link.notify(have)
 
-    def _whole_have(self, wants_reply: bool) -> messages.Have:
+    def _full_have_map(self, wants_reply: bool) -> messages.Have:
         bitmap = encode_bitmap(self._spread.held, self._spread.chunk_count)
         return messages.Have(
             self.digest,
@@ -203,7 +206,7 @@
             bitmap,
             added=[],
             wants_reply=wants_reply,
-            waiting=self._waiting(),
+            waiting=self._count_waiting_uploads(),
         )
 
     def _next_sequence(self) -> int:
@@ -222,23 +225,23 @@
                     task = asyncio.get_running_loop().create_task(self._fetch(action))
                     self._fetches[source, index] = task
                 case CancelRequest(source, index):
-                    self._around.metrics.retry(RetryReason.CHUNK_STALLED)
+                    self._context.metrics.retry(RetryReason.CHUNK_STALLED)
                     self._cancel(source, index)
 
     async def _fetch(self, ask: RequestChunk) -> None:
         source, index = ask.source, ask.index
         try:
             data = await self._receive(ask)
-            if not await self._around.chunks.put(self.manifest.chunk_hashes[index], data):
+            if not await self._context.chunks.put(self.manifest.chunk_hashes[index], data):
                 raise CorruptChunk(f"chunk {index} of {self.digest} from {source}")
-            await self._around.downlink.receive(len(data))
+            await self._context.downlink.receive(len(data))
         except LacewingError as error:
             self._fetches.pop((source, index), None)
-            self._fail(source, index, error)
+            self._record_failure(source, index, error)
         else:
             self._fetches.pop((source, index), None)
-            self._count(source, len(data))
-            self._take(source, index)
+            self._count_bytes(source, len(data))
+            self._add_chunk(source, index)
         self.advance()
 
     async def _receive(self, ask: RequestChunk) -> bytes:
@@ -246,14 +249,14 @@
             case Neighbour(host):
                 return await self._receive_from(host, ask)
             case Origin():
-                source = self._around.origin
+                source = self._context.origin
             case Store():
-                assert self._around.store is not None, "the policy knows of no weight store"
-                source = self._around.store
+                assert self._context.store is not None, "the policy knows of no weight store"
+                source = self._context.store
         return await source.fetch(self.manifest, ask.index)
 
     async def _receive_from(self, host: HostId, ask: RequestChunk) -> bytes:
-        link = self._around.mesh.link(host)
+        link = self._context.mesh.link(host)
         if link is None:
             raise LinkBusy(f"the link to {host} is gone")
         size = self.manifest.chunk_sizes[ask.index]
@@ -269,15 +272,15 @@
             call.abandon()
         return bytes(received)
 
-    def _fail(self, source: Source, index: int, error: LacewingError) -> None:
-        failure = failure_of(error)
+    def _record_failure(self, source: Source, index: int, error: LacewingError) -> None:
+        failure = classify_failure(error)
         log.info(
             "chunk_failed", source=str(source), index=index, failure=failure.value, error=error
         )
-        self._around.metrics.retry(retry_reason(source, failure))
+        self._context.metrics.retry(retry_reason(source, failure))
         self._spread.record_failure(source, index, failure, _now())
 
-    def _take(self, source: Source | None, index: int) -> None:
+    def _add_chunk(self, source: Source | None, index: int) -> None:
         """Count in a verified chunk, wherever in the release its bytes occur."""
         wanted = self.manifest.chunk_hashes[index]
         for each, chunk_hash in enumerate(self.manifest.chunk_hashes):
@@ -287,21 +290,21 @@
                 source if each == index else None, each, _now()
             ):
                 self._cancel(cancel.source, cancel.index)
-            self._fresh.append(each)
+            self._unannounced.append(each)
             self._on_chunk(self.digest, each)
         if self._spread.is_complete and not self.complete.is_set():
             self._ended_at = _now()
             self.complete.set()
 
-    def _count(self, source: Source, size: int) -> None:
+    def _count_bytes(self, source: Source, size: int) -> None:
         self.traffic.downloaded_bytes += size
-        self._around.metrics.count("weights_bytes", size, source=self._kind_of(source))
+        self._context.metrics.count("weights_bytes", size, source=self._kind_of(source))
         match source:
             case Origin():
                 self.traffic.origin_bytes += size
             case Store():
                 self.traffic.store_bytes += size
-            case Neighbour(host) if self._is_elsewhere(host):
+            case Neighbour(host) if self._is_in_other_place(host):
                 self.traffic.cross_place_bytes += size
 
     def _kind_of(self, source: Source) -> str:
@@ -311,21 +314,21 @@
             case Store():
                 return "store"
             case Neighbour(host):
-                return "other-place" if self._is_elsewhere(host) else "neighbour"
+                return "other-place" if self._is_in_other_place(host) else "neighbour"
 
-    def _is_elsewhere(self, host: HostId) -> bool:
+    def _is_in_other_place(self, host: HostId) -> bool:
         state = self._spread.neighbours.get(host)
-        return state is not None and state.place != self._around.place
+        return state is not None and state.place != self._context.place
 
     def _cancel(self, source: Source, index: int) -> None:
         task = self._fetches.pop((source, index), None)
         if task is not None:
             task.cancel()
-        self._tell_cancelled(source, index)
+        self._notify_cancelled(source, index)
 
-    def _tell_cancelled(self, source: Source, index: int) -> None:
+    def _notify_cancelled(self, source: Source, index: int) -> None:
         if isinstance(source, Neighbour):
-            link = self._around.mesh.link(source.host)
+            link = self._context.mesh.link(source.host)
             if link is not None:
                 link.notify(messages.CancelChunk(self.digest, index))
 
@@ -349,14 +352,14 @@
             corrupt_chunks=self._spread.corrupt_chunks,
             bad_sources=self._spread.bad_sources,
             rate_bytes_per_s=self.traffic.downloaded_bytes / elapsed,
-            held_up_by=self._held_up_by(),
+            held_up_by=self._describe_blockage(),
         )
 
-    def _held_up_by(self) -> str:
+    def _describe_blockage(self) -> str:
         missing = self._spread.unavailable_chunks(_now())
         if not missing:
             return ""
-        first = ", ".join(str(index) for index in missing[:NAMED_CHUNKS])
+        first = ", ".join(str(index) for index in missing[:MISSING_CHUNKS_LISTED])
         failures = self._spread.source_failures
         reason = (
             f"{len(missing)} chunks of {self.manifest.name} that no host has, first {first}; "
--- a/src/lacewinggw/agent/executor.py
+++ b/src/lacewinggw/agent/executor.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from contextlib import aclosing
 
-from lacewinggw.agent.queue import Refused, RequestQueue
+from lacewinggw.agent.queue import QueueRefusal, TargetQueue
 from lacewinggw.agent.runs import Run
-from lacewinggw.agent.target import TargetGate, TargetKind
+from lacewinggw.agent.target import TargetKind, TargetStatus
 from lacewinggw.clients.engine import AnswerEnd, EngineClient, Generation, PieceBatch
 from lacewinggw.clients.plain import PlainCall, PlainClient
 from lacewinggw.decisions.atmostonce import RunRegistry
@@ -44,23 +44,23 @@
     def __init__(
         self,
         settings: Settings,
-        gate: TargetGate,
+        target_status: TargetStatus,
         engine: EngineClient,
         plain: PlainClient | None,
         book: RunRegistry,
         metrics: Metrics,
-        ended: Callable[[Run], None],
+        on_ended: Callable[[Run], None],
     ) -> None:
-        self._gate = gate
+        self._target_status = target_status
         self._engine = engine
         self._plain = plain
         self._book = book
         self._window = settings.requests.piece_window
-        self._ended = ended
+        self._on_ended = on_ended
         self.on_first_piece: Callable[[float], None] = lambda seconds: None
         self.on_bytes: Callable[[int], None] = lambda count: None
-        self._queue: RequestQueue[Run] = RequestQueue.from_config(
-            settings, metrics, self._begin, self._refuse
+        self._queue: TargetQueue[Run] = TargetQueue.from_config(
+            settings, metrics, self._launch, self._handle_refusal
         )
         self._tasks: dict[Run, asyncio.Task[None]] = {}
         self._idle = asyncio.Event()
@@ -70,7 +70,7 @@
         """Return how much there is to do here, as of now."""
         return self._queue.load()
 
-    def check_room(self, head: RequestHead, deadline: float) -> None:
+    def check_capacity(self, head: RequestHead, deadline: float) -> None:
         """Raise the refusal that a request would meet in the queue now."""
         refused = self._queue.check(head, deadline, asyncio.get_running_loop().time())
         if refused is not None:
@@ -81,12 +81,12 @@
         now = asyncio.get_running_loop().time()
         refused = self._queue.push(run.head, run, run.deadline, now)
         if refused is not None:
-            self._refuse(run, refused)
+            self._handle_refusal(run, refused)
 
     def withdraw(self, run: Run) -> None:
         """Take a run off the queue, if it is still there."""
-        if self._queue.leave(run):
-            self._bar(run, Withdrawn("withdrawn before it started"))
+        if self._queue.remove(run):
+            self._reject(run, Withdrawn("withdrawn before it started"))
 
     def cancel(self, run: Run) -> None:
         """Give up a run that nobody listens to any more."""
@@ -114,68 +114,68 @@
         if tasks:
             await asyncio.wait(tasks)
 
-    def _refuse(self, run: Run, refused: Refused) -> None:
-        self._bar(run, refused.error())
+    def _handle_refusal(self, run: Run, refused: QueueRefusal) -> None:
+        self._reject(run, refused.error())
 
-    def _bar(self, run: Run, error: LacewingError) -> None:
+    def _reject(self, run: Run, error: LacewingError) -> None:
         """End a run that did not start and never will."""
         self._book.refuse(run.id, asyncio.get_running_loop().time())
         run.fail(error)
-        self._ended(run)
+        self._on_ended(run)
 
-    def _begin(self, run: Run) -> None:
+    def _launch(self, run: Run) -> None:
         self._idle.clear()
-        task = asyncio.get_running_loop().create_task(self._carry_out(run))
+        task = asyncio.get_running_loop().create_task(self._execute(run))
         self._tasks[run] = task
-        task.add_done_callback(lambda _: self._conclude(run))
+        task.add_done_callback(lambda _: self._release_slot(run))
 
-    def _refusal(self, run: Run) -> LacewingError | None:
-        if not self._gate.serving:
+    def _find_obstacle(self, run: Run) -> LacewingError | None:
+        if not self._target_status.serving:
             return NoTarget("the target does not serve now", retry_after_ms=NOT_SERVING_RETRY_MS)
-        if run.head.digest and run.head.digest != self._gate.active_digest:
+        if run.head.digest and run.head.digest != self._target_status.active_digest:
             return ReleaseMoved("the target has moved to other weights")
         return None
 
-    async def _carry_out(self, run: Run) -> None:
+    async def _execute(self, run: Run) -> None:
         loop = asyncio.get_running_loop()
-        timer = loop.call_at(run.deadline, self._pass_deadline, run)
+        timer = loop.call_at(run.deadline, self._handle_deadline, run)
         try:
-            self._start(run)
+            self._mark_started(run)
             began_at = loop.time()
-            run.end(await self._ask_target(run))
+            run.complete(await self._run_on_target(run))
             run.ran_s = loop.time() - began_at
             self._book.finish(run.id, loop.time())
         except LacewingError as error:
-            self._note_failure(run, error)
+            self._record_failure(run, error)
         except asyncio.CancelledError:
-            self._note_failure(run, TargetFailed("cut off: the agent is closing"))
+            self._record_failure(run, TargetFailed("cut off: the agent is closing"))
         except Exception as error:
             log.exception("run_failed", request_id=run.head.request_id)
-            self._note_failure(run, TargetFailed(f"the run failed: {error!r}"))
+            self._record_failure(run, TargetFailed(f"the run failed: {error!r}"))
         finally:
             timer.cancel()
 
-    def _conclude(self, run: Run) -> None:
+    def _release_slot(self, run: Run) -> None:
         """Free the slot of a run that is over, even one cancelled before its first step."""
         del self._tasks[run]
         if not self._tasks:
             self._idle.set()
         if run.started:
-            self._ended(run)
+            self._on_ended(run)
         else:
-            self._bar(run, Withdrawn("withdrawn before it started"))
+            self._reject(run, Withdrawn("withdrawn before it started"))
         self._queue.done(run, run.ran_s)
 
-    def _start(self, run: Run) -> None:
+    def _mark_started(self, run: Run) -> None:
         """Note that the run starts; raise what bars it."""
-        refusal = self._refusal(run)
+        refusal = self._find_obstacle(run)
         if refusal is not None:
             raise refusal
         if not self._book.start(run.id, asyncio.get_running_loop().time()):
             raise Withdrawn("withdrawn before it started")
         run.started = True
 
-    def _note_failure(self, run: Run, error: LacewingError) -> None:
+    def _record_failure(self, run: Run, error: LacewingError) -> None:
         now = asyncio.get_running_loop().time()
         if error.outcome is Outcome.NOT_RUN:
             self._book.refuse(run.id, now)
@@ -183,15 +183,15 @@
             self._book.finish(run.id, now)
         run.fail(error)
 
-    def _pass_deadline(self, run: Run) -> None:
+    def _handle_deadline(self, run: Run) -> None:
         """Stop an idempotent run at its deadline; any other runs on to its end."""
         task = self._tasks.get(run)
         if task is not None and run.head.repeatable:
             run.fail(DeadlinePassed("the deadline passed while it ran"))
             task.cancel()
 
-    async def _ask_target(self, run: Run) -> Finish:
-        match self._gate.kind:
+    async def _run_on_target(self, run: Run) -> Finish:
+        match self._target_status.kind:
             case TargetKind.ENGINE:
                 return await self._generate(run)
             case TargetKind.PLAIN:
@@ -202,7 +202,7 @@
         head = run.head
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
-        weights = run.weights_digest = self._gate.active_digest
+        weights = run.weights_digest = self._target_status.active_digest
         generation = Generation(
             RequestId(head.request_id), run.body, int(head.priority), head.resume_from
         )
@@ -211,18 +211,18 @@
             async for item in items:
                 match item:
                     case PieceBatch(first, pieces):
-                        if first != run.first + len(run.pieces):
+                        if first != run.first_index + len(run.pieces):
                             raise AnswerIncomplete(f"the engine skipped to piece {first}")
                         if not run.pieces:
                             self.on_first_piece(loop.time() - asked_at)
                         self.on_bytes(sum(map(len, pieces)))
                         run.add(pieces)
-                        await run.wait_for_room(self._window)
+                        await run.wait_for_listeners(self._window)
                     case AnswerEnd():
                         end = item
-        if end is None or end.pieces != run.first + len(run.pieces):
+        if end is None or end.pieces != run.first_index + len(run.pieces):
             raise AnswerIncomplete("the engine's answer has another number of pieces than told")
-        if end.weights != weights or self._gate.active_digest != weights:
+        if end.weights != weights or self._target_status.active_digest != weights:
             raise AnswerIncomplete("the weights changed while the engine answered")
         return self._finish(run, weights)
 
@@ -250,7 +250,7 @@
         content_type: str = "text/plain",
     ) -> Finish:
         return Finish(
-            pieces=run.first + len(run.pieces),
+            pieces=run.first_index + len(run.pieces),
             content_digest=run.content_digest,
             weights_digest=weights,
             status=status,
--- a/src/lacewinggw/agent/failures.py
+++ b/src/lacewinggw/agent/failures.py
@@ -12,7 +12,7 @@
 from lacewinggw.metrics import RetryReason
 
 
-def failure_of(error: LacewingError) -> FetchFailure:
+def classify_failure(error: LacewingError) -> FetchFailure:
     """Return what an error means for the source that a chunk was asked of."""
     match error:
         case CorruptChunk():
--- a/src/lacewinggw/agent/follower.py
+++ b/src/lacewinggw/agent/follower.py
@@ -21,16 +21,16 @@
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import PeerNode
 
-UPSTREAMS = 2
-CURRENT_POLLS = 5
+UPSTREAM_COUNT = 2
+MAX_CONFIRMATION_AGE_POLLS = 5
 MS_PER_S = 1000
 
 log = get_logger(__name__)
 
-Entries = Callable[[], Sequence[Candidate]]
+ListEntries = Callable[[], Sequence[Candidate]]
 
 
-class Follower(ReplicaHolder):
+class ConfigurationFollower(ReplicaHolder):
     """One agent's copy of the configuration.
 
     follower = Follower.from_config(settings, node, entries, metrics)
@@ -42,7 +42,7 @@
         self,
         settings: ConfigurationSettings,
         node: PeerNode,
-        entries: Entries,
+        entries: ListEntries,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
@@ -51,7 +51,7 @@
         self._entries = entries
         self._rng = rng
         super().__init__(Replica(metrics))
-        self._upstreams = Upstreams(node, self._replica, self._addresses, UPSTREAMS, metrics)
+        self._upstreams = Upstreams(node, self._replica, self._addresses, UPSTREAM_COUNT, metrics)
         self._peers = PeerBootstrap(node)
         self._loop = Background("configuration", self._follow)
 
@@ -60,22 +60,22 @@
         cls,
         settings: ConfigurationSettings,
         node: PeerNode,
-        entries: Entries,
+        entries: ListEntries,
         metrics: Metrics,
         rng: random.Random | None = None,
-    ) -> "Follower":
+    ) -> "ConfigurationFollower":
         """Return the follower of an agent; `entries` gives all entries as now listed."""
         return cls(settings, node, entries, metrics, rng or random.Random())
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Whether an entry confirmed a moment ago that this is the newest configuration.
 
         False after the process was paused, until an entry has answered again: what is known here
         may have been replaced meanwhile, so no order may be given by it.
         """
         now = asyncio.get_running_loop().time()
-        return now - self._upstreams.confirmed_at < CURRENT_POLLS * self._poll_s()
+        return now - self._upstreams.confirmed_at < MAX_CONFIRMATION_AGE_POLLS * self._poll_s()
 
     async def start(self) -> None:
         """Get a configuration from entries, then follow them. Returns once there is one."""
--- a/src/lacewinggw/agent/heartbeats.py
+++ b/src/lacewinggw/agent/heartbeats.py
@@ -14,7 +14,7 @@
 Compose = Callable[[int], messages.Heartbeat]
 
 CHANGE_SPACING_S = 0.05
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclass
@@ -48,12 +48,12 @@
         """Stop sending."""
         await self._loop.close()
 
-    def take(self, link: PeerLink, watch: Watch) -> None:
+    def handle_watch(self, link: PeerLink, watch: Watch) -> None:
         """Send heartbeats over `link` as its entry asks from now on, one at once, or stop."""
         if watch.stop:
             self._watchers.pop(link, None)
             return
-        interval_s = max(self._interval_s, (watch.interval_ms or 0) / MILLISECONDS)
+        interval_s = max(self._interval_s, (watch.interval_ms or 0) / MS_PER_S)
         self._watchers[link] = _Watcher(interval_s, self._now() + interval_s)
         link.notify(self._compose(next(self._numbers)))
 
--- a/src/lacewinggw/agent/links.py
+++ b/src/lacewinggw/agent/links.py
@@ -44,7 +44,7 @@
         await asyncio.sleep(delay)
 
 
-class LiveGauge:
+class LiveTrafficMeter:
     """What live requests tell of this host's link, so that weights can make room for them."""
 
     def __init__(self, link_bytes_per_s: float, share: float) -> None:
@@ -53,23 +53,23 @@
 
     def note_latency(self, seconds: float) -> None:
         """Note how long a live request waited for its first piece, in seconds."""
-        self._running.record_latency(seconds, _now())
+        self._active_policy.record_latency(seconds, _now())
 
     def note_bytes(self, count: int) -> None:
         """Note bytes of live requests that passed the link."""
-        self._running.record_live_bytes(count)
+        self._active_policy.record_live_bytes(count)
 
     def weights_rate(self) -> float:
         """Return what weights may take now, in bytes per second and direction."""
-        return self._running.allowed_bytes_per_s(_now())
+        return self._active_policy.allowed_bytes_per_s(_now())
 
     @property
-    def factor(self) -> float:
+    def yield_factor(self) -> float:
         """How far weights yield to the latency of live requests: 1 not at all."""
         return self._policy.latency_factor if self._policy else 1.0
 
     @property
-    def _running(self) -> WeightBandwidthLimiter:
+    def _active_policy(self) -> WeightBandwidthLimiter:
         if self._policy is None:
             self._policy = WeightBandwidthLimiter(self._rules, _now())
         return self._policy
--- a/src/lacewinggw/agent/manifests.py
+++ b/src/lacewinggw/agent/manifests.py
@@ -11,10 +11,10 @@
 from lacewinggw.ids import Digest
 from lacewinggw.wire.peers import PeerLink
 
-RETRY_S = 0.2
-RETRY_LIMIT_S = 5.0
-CALL_S = 2.0
-ORIGIN_AFTER_S = 3.0
+RETRY_INTERVAL_S = 0.2
+MAX_RETRY_INTERVAL_S = 5.0
+CALL_TIMEOUT_S = 2.0
+ORIGIN_DELAY_S = 3.0
 
 
 class ManifestFinder:
@@ -26,57 +26,61 @@
 
     def __init__(self, origin: WeightSource, rng: random.Random, check: "CheckManifest") -> None:
         self._check = check
-        self.held_up_by = ""
+        self.last_error = ""
         self._origin = origin
         self._rng = rng
         self._holders: dict[Digest, asyncio.Queue[PeerLink]] = {}
 
-    def hint(self, digest: Digest, link: PeerLink) -> None:
+    def add_holder(self, digest: Digest, link: PeerLink) -> None:
         """Note that the other side of a link has the manifest of a digest that is looked for."""
         holders = self._holders.get(digest)
         if holders is not None:
             holders.put_nowait(link)
 
-    async def find(self, digest: Digest, is_first: Callable[[], bool]) -> messages.Manifest:
+    async def find(
+        self, digest: Digest, is_first_at_origin: Callable[[], bool]
+    ) -> messages.Manifest:
         """Return the manifest of `digest`, however long it takes."""
         self._holders[digest] = asyncio.Queue()
         try:
-            return await self._find(digest, is_first)
+            return await self._find(digest, is_first_at_origin)
         finally:
             del self._holders[digest]
 
-    async def _find(self, digest: Digest, is_first: Callable[[], bool]) -> messages.Manifest:
+    async def _find(
+        self, digest: Digest, is_first_at_origin: Callable[[], bool]
+    ) -> messages.Manifest:
         loop = asyncio.get_running_loop()
-        origin_at = loop.time() + ORIGIN_AFTER_S * (1.0 + self._rng.random())
-        pause_s = RETRY_S
+        origin_at = loop.time() + ORIGIN_DELAY_S * (1.0 + self._rng.random())
+        pause_s = RETRY_INTERVAL_S
         while True:
             try:
-                if is_first() or loop.time() >= origin_at:
+                if is_first_at_origin() or loop.time() >= origin_at:
                     return self._check(await self._origin.manifest_by_digest(digest), digest)
             except LacewingError as error:
-                self._note(error)
-                pause_s = min(2 * pause_s, RETRY_LIMIT_S)
+                self._record_error(error)
+                pause_s = min(2 * pause_s, MAX_RETRY_INTERVAL_S)
             try:
                 return await self._ask_holder(digest, pause_s * (0.5 + self._rng.random()))
             except (LacewingError, TimeoutError) as error:
-                self._note(error)
+                self._record_error(error)
 
     async def _ask_holder(self, digest: Digest, timeout_s: float) -> messages.Manifest:
         async with asyncio.timeout(timeout_s):
             link = await self._holders[digest].get()
-        reply = await link.call(messages.FetchManifest(digest), CALL_S)
-        self.held_up_by = ""
+        reply = await link.call(messages.FetchManifest(digest), CALL_TIMEOUT_S)
+        self.last_error = ""
         return self._check(reply.manifest, digest)
 
-    def _note(self, error: Exception) -> None:
+    def _record_error(self, error: Exception) -> None:
         if isinstance(error, LacewingError):
-            self.held_up_by = str(error)
+            self.last_error = str(error)
 
 
 CheckManifest = Callable[[messages.Manifest, Digest], messages.Manifest]
 
 
-def check_named(manifest: messages.Manifest, digest: Digest) -> messages.Manifest:
+def check_named_manifest(manifest: messages.Manifest, digest: Digest) -> messages.Manifest:
     """Return a manifest that says itself which release it is of, where a release is a name.
 
     Its chunk hashes are what its operators' origin gave to one of this fleet's processes.
--- a/src/lacewinggw/agent/mesh.py
+++ b/src/lacewinggw/agent/mesh.py
@@ -29,7 +29,7 @@
         self._links: dict[HostId, PeerLink] = {}
         self._wanted: dict[HostId, float] = {}
         self._addresses: Mapping[HostId, Address] = {}
-        self._suspects: dict[HostId, float] = {}
+        self._suspect_until: dict[HostId, float] = {}
         self._dialling: dict[HostId, asyncio.Task[None]] = {}
         self._watchers: set[asyncio.Task[None]] = set()
 
@@ -37,7 +37,7 @@
     def suspects(self) -> frozenset[HostId]:
         """Hosts that did not answer lately."""
         now = asyncio.get_running_loop().time()
-        return frozenset(host for host, until in self._suspects.items() if until > now)
+        return frozenset(host for host, until in self._suspect_until.items() if until > now)
 
     @property
     def open_links(self) -> list[PeerLink]:
@@ -58,10 +58,10 @@
         """Take the addresses of all live hosts."""
         for host, address in addresses.items():
             if self._addresses.get(host) != address:
-                self._suspects.pop(host, None)
+                self._suspect_until.pop(host, None)
         self._addresses = addresses
 
-    def want(self, hosts: Iterable[HostId]) -> None:
+    def set_wanted_hosts(self, hosts: Iterable[HostId]) -> None:
         """Keep links to these hosts from now on."""
         now = asyncio.get_running_loop().time()
         self._wanted = {host: self._wanted.get(host, now) for host in hosts}
@@ -74,7 +74,7 @@
         for host, since in self._wanted.items():
             if self.link(host) is not None or host in self._dialling:
                 continue
-            if host not in self._addresses or self._suspects.get(host, 0.0) > now:
+            if host not in self._addresses or self._suspect_until.get(host, 0.0) > now:
                 continue
             if host < me and now - since < DIAL_GRACE_S:
                 continue
@@ -90,9 +90,9 @@
         if known is not None and known.remote.incarnation == link.remote.incarnation:
             return
         if known is not None:
-            self._lose(host, known)
+            self._drop_link(host, known)
         self._links[host] = link
-        self._suspects.pop(host, None)
+        self._suspect_until.pop(host, None)
         task = asyncio.get_running_loop().create_task(self._watch(host, link))
         self._watchers.add(task)
         task.add_done_callback(self._watchers.discard)
@@ -102,25 +102,25 @@
         try:
             link = await self._node.link(self._addresses[host], LANE)
         except LacewingError:
-            self._suspect(host)
+            self._mark_suspect(host)
         else:
             if link.remote.host == host:
                 self.register(link)
             else:
-                self._suspect(host)
+                self._mark_suspect(host)
         finally:
             self._dialling.pop(host, None)
 
     async def _watch(self, host: HostId, link: PeerLink) -> None:
         await link.closed.wait()
-        self._lose(host, link)
+        self._drop_link(host, link)
 
-    def _lose(self, host: HostId, link: PeerLink) -> None:
+    def _drop_link(self, host: HostId, link: PeerLink) -> None:
         if self._links.get(host) is not link:
             return
         del self._links[host]
-        self._suspect(host)
+        self._mark_suspect(host)
         self._on_down(host)
 
-    def _suspect(self, host: HostId) -> None:
-        self._suspects[host] = asyncio.get_running_loop().time() + SUSPECT_S
+    def _mark_suspect(self, host: HostId) -> None:
+        self._suspect_until[host] = asyncio.get_running_loop().time() + SUSPECT_S
--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -3,12 +3,12 @@
 import random
 from collections.abc import Sequence
 
-from lacewinggw.agent.follower import Follower
+from lacewinggw.agent.follower import ConfigurationFollower
 from lacewinggw.agent.heartbeats import HeartbeatSender
-from lacewinggw.agent.keeper import TargetKeeper
+from lacewinggw.agent.reconciler import TargetReconciler
 from lacewinggw.agent.requests import RequestService
-from lacewinggw.agent.target import TargetGate, TargetKind
-from lacewinggw.agent.views import DueRelease
+from lacewinggw.agent.target import TargetKind, TargetStatus
+from lacewinggw.agent.topologies import DueRelease
 from lacewinggw.agent.weights import Spreader
 from lacewinggw.clients.engine import EngineClient
 from lacewinggw.clients.group import PlatformClients
@@ -31,12 +31,12 @@
 from lacewinggw.wire.pages import HealthPages
 from lacewinggw.wire.peers import Exchange, Identity, PeerNode
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 log = get_logger(__name__)
 
 
-def wanted_of(state: FleetState, host: str) -> DesiredState | None:
+def desired_state(state: FleetState, host: str) -> DesiredState | None:
     """Return what the configuration wants of the target on `host`.
 
     A drained host is wanted for nothing at once, even while the entry that takes its replicas away
@@ -112,14 +112,14 @@
             revision=lambda: self.follower.revision,
             on_revision=lambda link, revision: self.follower.saw_revision(link, revision),
         )
-        self.follower = Follower.from_config(
+        self.follower = ConfigurationFollower.from_config(
             settings.configuration,
             self.node,
             lambda: entry_candidates(self.watch.members),
             self.metrics,
             rng,
         )
-        self.gate = TargetGate(
+        self.target_status = TargetStatus(
             TargetKind(agent.target_kind),
             agent.target,
             agent.service_name,
@@ -129,20 +129,20 @@
             settings, self.node, platform.origin, platform.weight_store, self.metrics, rng
         )
         self.requests = RequestService.from_config(
-            settings, self.gate, self._engine, identity, self.metrics, rng, self._plain
+            settings, self.target_status, self._engine, identity, self.metrics, rng, self._plain
         )
-        live = self.spreader.live
-        self.requests.watch_live(live.note_latency, live.note_bytes)
-        self.heartbeats = HeartbeatSender(self._compose, agent.heartbeat_ms / MILLISECONDS)
-        self.keeper = TargetKeeper(
+        live = self.spreader.live_traffic
+        self.requests.set_live_callbacks(live.note_latency, live.note_bytes)
+        self.heartbeats = HeartbeatSender(self._compose, agent.heartbeat_ms / MS_PER_S)
+        self.reconciler = TargetReconciler(
             network,
-            self.gate,
+            self.target_status,
             self._engine,
             self.spreader,
             self.requests,
-            wanted=lambda: wanted_of(self.follower.state, process.host),
+            wanted=lambda: desired_state(self.follower.state, process.host),
             fence=lambda: self.follower.revision,
-            is_current=lambda: self.follower.current,
+            is_current=lambda: self.follower.is_current,
             on_change=self.heartbeats.note_change,
             metrics=self.metrics,
         )
@@ -165,23 +165,23 @@
         """Listen, learn the hosts and the configuration, and begin to follow them."""
         await self.node.start(self._settings.agent.peer_listen)
         await self._operator_server.start()
-        self.watch.on_change(self._take_members)
-        self.follower.on_change(self._take_changes)
-        self.spreader.on_chunk(lambda digest, index: self.keeper.wake())
+        self.watch.on_change(self._on_members)
+        self.follower.on_change(self._on_changes)
+        self.spreader.on_chunk(lambda digest, index: self.reconciler.wake())
         await self.watch.start()
         await self.spreader.start()
         await self.requests.start()
         await self.heartbeats.start()
         await self.follower.start()
-        await self.keeper.start()
+        await self.reconciler.start()
         log.info("agent_started", address=self.node.address)
 
     async def drain(self) -> None:
         """Refuse new requests, let those in progress end, and hand on what others still fetch."""
         self._listed_as_leaving = False
         self.begin_drain()
-        limit_s = self._settings.agent.drain_limit_ms / MILLISECONDS
-        await self.requests.drained(limit_s)
+        limit_s = self._settings.agent.drain_limit_ms / MS_PER_S
+        await self.requests.wait_drained(limit_s)
         log.info("agent_drained")
 
     def begin_drain(self) -> None:
@@ -208,7 +208,7 @@
 
     async def close(self) -> None:
         """End everything; nothing is left pending."""
-        await self.keeper.close()
+        await self.reconciler.close()
         await self.follower.close()
         await self.heartbeats.close()
         await self.requests.close()
@@ -225,9 +225,9 @@
         reason = "" if self.follower.ready else "no configuration yet"
         return Readiness(self.follower.ready, reason, self.follower.revision)
 
-    def _take_members(self, members: MemberList) -> None:
+    def _on_members(self, members: MemberList) -> None:
         self.spreader.set_members(members)
-        mine = self._find_self(members)
+        mine = self._find_own_member(members)
         if mine is None:
             return
         if mine.state is MemberState.LEAVING:
@@ -236,37 +236,37 @@
         elif self._listed_as_leaving:
             self._end_drain()
 
-    def _find_self(self, members: MemberList) -> Member | None:
+    def _find_own_member(self, members: MemberList) -> Member | None:
         host = self._settings.process.host
         return next((member for member in members if member.host == host), None)
 
-    def _take_changes(self, state: FleetState, entries: Sequence[messages.LogEntry]) -> None:
+    def _on_changes(self, state: FleetState, entries: Sequence[messages.LogEntry]) -> None:
         """Follow only what can concern this host: most changes are about other services."""
         own = {service for service, _ in state.assignments_of(self._settings.process.host)}
         if may_change_placements(entries) or declares_any(entries, own):
-            self._take_state(state)
+            self._apply_state(state)
 
-    def _take_state(self, state: FleetState) -> None:
+    def _apply_state(self, state: FleetState) -> None:
         host = self._settings.process.host
         self.spreader.set_due(due_releases(state, host))
-        self.keeper.wake()
+        self.reconciler.wake()
 
     def _compose(self, sequence: int) -> messages.Heartbeat:
-        gate = self.gate
+        target_status = self.target_status
         process = self._settings.process
-        state = messages.TargetState.DRAINING if self.draining else gate.state
+        state = messages.TargetState.DRAINING if self.draining else target_status.state
         return messages.Heartbeat(
             host=process.host,
             place=process.place,
             incarnation=self.incarnation,
-            service_name=gate.service if gate.serving else "",
-            release=gate.release if gate.serving else "",
-            digest=gate.active_digest if gate.serving else "",
+            service_name=target_status.service if target_status.serving else "",
+            release=target_status.release if target_status.serving else "",
+            digest=target_status.active_digest if target_status.serving else "",
             state=state,
             load=self.requests.load(),
             spreads=self.spreader.reports(),
             sequence=sequence,
-            ready_digest=gate.ready_digest,
+            ready_digest=target_status.ready_digest,
         )
 
     async def _handle(self, exchange: Exchange) -> None:
@@ -283,7 +283,7 @@
             case messages.LogNews() | messages.FetchLog() | messages.FetchSnapshot():
                 await self.follower.handle(exchange)
             case messages.Watch() as watch:
-                self.heartbeats.take(exchange.link, watch)
+                self.heartbeats.handle_watch(exchange.link, watch)
             case _:
                 kind = type(exchange.message).__name__
                 raise UnsupportedMessage(f"an agent does not take {kind}")
--- a/src/lacewinggw/agent/queue.py
+++ b/src/lacewinggw/agent/queue.py
@@ -23,14 +23,14 @@
 from lacewinggw.ids import Account
 from lacewinggw.metrics import Metrics
 
-LEAST_RETRY_MS = 10
+MIN_RETRY_MS = 10
 PERCENT = 100.0
 
 Payload = TypeVar("Payload")
 
 
 @dataclass(frozen=True)
-class Refused:
+class QueueRefusal:
     """The request does not run; `retry_after_ms` is when to come back."""
 
     reason: Refusal
@@ -48,7 +48,7 @@
         return RequestRefused.because(self.reason, said, self.retry_after_ms)
 
 
-class RequestQueue(Generic[Payload]):
+class TargetQueue(Generic[Payload]):
     """The queue of one target, with its slots. Times are the loop's, in seconds."""
 
     def __init__(
@@ -57,17 +57,17 @@
         length: int,
         metrics: Metrics,
         start: Callable[[Payload], None],
-        dropped: Callable[[Payload, Refused], None],
+        on_dropped: Callable[[Payload, QueueRefusal], None],
     ) -> None:
         self._slots = slots
         self._queue: FairQueue[Payload] = FairQueue(length)
         self._start = start
-        self._dropped = dropped
+        self._on_dropped = on_dropped
         self._waiting: dict[Payload, QueueItem[Payload]] = {}
         self._running: dict[Payload, Priority] = {}
         self._paused = False
-        self._expiry: asyncio.TimerHandle | None = None
-        self._wait = metrics.latency("queue_wait")
+        self._expiry_timer: asyncio.TimerHandle | None = None
+        self._wait_latency = metrics.latency("queue_wait")
 
     @classmethod
     def from_config(
@@ -75,11 +75,11 @@
         settings: Settings,
         metrics: Metrics,
         start: Callable[[Payload], None],
-        dropped: Callable[[Payload, Refused], None],
-    ) -> "RequestQueue[Payload]":
+        on_dropped: Callable[[Payload, QueueRefusal], None],
+    ) -> "TargetQueue[Payload]":
         """Build the queue as [agent] and [routing] say."""
         slots = Slots(settings.agent.concurrency, settings.routing.urgent_percent / PERCENT)
-        return cls(slots, settings.agent.queue_length, metrics, start, dropped)
+        return cls(slots, settings.agent.queue_length, metrics, start, on_dropped)
 
     @property
     def running(self) -> int:
@@ -103,20 +103,20 @@
             urgent=self._slots.running_urgent + self._queue.length_of(Priority.URGENT),
         )
 
-    def check(self, head: RequestHead, deadline: float, now: float) -> Refused | None:
+    def check(self, head: RequestHead, deadline: float, now: float) -> QueueRefusal | None:
         """Return why a request would be refused now, or none when it would be taken."""
-        item = self._item(head, None, deadline, now)
+        item = self._make_item(head, None, deadline, now)
         ahead = self._queue.count_ahead(item)
-        wait_s = 0.0 if self._may_start(item.priority, now) else self._slots.expected_wait(ahead)
+        wait_s = 0.0 if self._can_start(item.priority, now) else self._slots.expected_wait(ahead)
         if not can_finish(deadline, now, wait_s, self._slots.min_request_s):
-            return self._refused(Refusal.DEADLINE)
-        if not self._may_start(item.priority, now) and not self._queue.would_accept(item):
-            return self._refused(Refusal.OVERLOADED)
+            return self._make_refusal(Refusal.DEADLINE)
+        if not self._can_start(item.priority, now) and not self._queue.would_accept(item):
+            return self._make_refusal(Refusal.OVERLOADED)
         return None
 
     def push(
         self, head: RequestHead, payload: Payload, deadline: float, now: float
-    ) -> Refused | None:
+    ) -> QueueRefusal | None:
         """Start a request or let it wait; return why, when it is refused.
 
         Another request may be dropped to make room, as `FairQueue` says.
@@ -124,18 +124,18 @@
         refused = self.check(head, deadline, now)
         if refused is not None:
             return refused
-        item = self._item(head, payload, deadline, now)
+        item = self._make_item(head, payload, deadline, now)
         if item.priority is Priority.URGENT:
             self._slots.note_urgent(now)
         self._waiting[payload] = item
         evicted = self._queue.push(item)
-        self._fill(now)
+        self._start_waiting(now)
         if evicted is not None:
             self._drop(evicted, Refusal.OVERLOADED)
-        self._watch_expiry(now)
+        self._schedule_expiry(now)
         return None
 
-    def leave(self, payload: Payload) -> bool:
+    def remove(self, payload: Payload) -> bool:
         """Take a request out of the queue; return False when it does not wait there."""
         item = self._waiting.pop(payload, None)
         if item is None:
@@ -149,7 +149,7 @@
         `ran_s` is none when the time says nothing of the target, as for a request that was cut.
         """
         self._slots.end(self._running.pop(payload), ran_s)
-        self._fill(asyncio.get_running_loop().time())
+        self._start_waiting(asyncio.get_running_loop().time())
 
     def pause(self) -> None:
         """Start nothing until `resume`."""
@@ -158,7 +158,7 @@
     def resume(self) -> None:
         """Start requests again."""
         self._paused = False
-        self._fill(asyncio.get_running_loop().time())
+        self._start_waiting(asyncio.get_running_loop().time())
 
     def drop_all(self, reason: Refusal) -> None:
         """Drop every request that waits."""
@@ -170,22 +170,22 @@
         """Drop every request that waits, and stop the timer."""
         self._paused = True
         self.drop_all(Refusal.DRAINING)
-        if self._expiry is not None:
-            self._expiry.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
 
-    def _item(
+    def _make_item(
         self, head: RequestHead, payload: Payload | None, deadline: float, now: float
     ) -> QueueItem[Payload]:
         weight = head.weight if head.weight and head.weight > 0 else 1.0
         priority, account = Priority(head.priority), Account(head.account or "")
         return QueueItem(payload, account, priority, weight, now, deadline)
 
-    def _may_start(self, priority: Priority, now: float) -> bool:
+    def _can_start(self, priority: Priority, now: float) -> bool:
         if self._paused or not self._slots.has_free_slot(priority, now):
             return False
         return not any(self._queue.length_of(each) for each in Priority if each <= priority)
 
-    def _fill(self, now: float) -> None:
+    def _start_waiting(self, now: float) -> None:
         while self._waiting and not self._paused:
             least = (
                 Priority.BULK if self._slots.has_free_slot(Priority.BULK, now) else Priority.URGENT
@@ -194,39 +194,39 @@
             if item is None:
                 return
             if can_finish(item.deadline, now, 0.0, 0.0):
-                self._begin(item, now)
+                self._start_item(item, now)
             else:
                 self._drop(item, Refusal.DEADLINE)
 
-    def _begin(self, item: QueueItem[Payload], now: float) -> None:
+    def _start_item(self, item: QueueItem[Payload], now: float) -> None:
         payload = item.require_payload()
         del self._waiting[payload]
         self._running[payload] = item.priority
         self._slots.begin(item.priority, now)
-        self._wait.record(now - item.arrived)
+        self._wait_latency.record(now - item.arrived)
         self._start(payload)
 
     def _drop(self, item: QueueItem[Payload], reason: Refusal) -> None:
         payload = item.require_payload()
         del self._waiting[payload]
-        self._dropped(payload, self._refused(reason))
+        self._on_dropped(payload, self._make_refusal(reason))
 
-    def _refused(self, reason: Refusal) -> Refused:
+    def _make_refusal(self, reason: Refusal) -> QueueRefusal:
         wait_s = self._slots.expected_wait(len(self._queue))
-        return Refused(reason, max(LEAST_RETRY_MS, int(wait_s * MS_PER_S)))
+        return QueueRefusal(reason, max(MIN_RETRY_MS, int(wait_s * MS_PER_S)))
 
-    def _watch_expiry(self, now: float) -> None:
+    def _schedule_expiry(self, now: float) -> None:
         first = min((item.deadline for item in self._waiting.values()), default=None)
-        if self._expiry is not None:
-            self._expiry.cancel()
-            self._expiry = None
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
         if first is not None:
             loop = asyncio.get_running_loop()
-            self._expiry = loop.call_at(first, self._expire)
+            self._expiry_timer = loop.call_at(first, self._drop_expired)
 
-    def _expire(self) -> None:
-        self._expiry = None
+    def _drop_expired(self) -> None:
+        self._expiry_timer = None
         now = asyncio.get_running_loop().time()
         for item in self._queue.remove_expired(now):
             self._drop(item, Refusal.DEADLINE)
-        self._watch_expiry(now)
+        self._schedule_expiry(now)
--- a/src/lacewinggw/agent/keeper.py
+++ b/src/lacewinggw/agent/reconciler.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from lacewinggw.agent.requests import RequestService
-from lacewinggw.agent.target import TargetGate, TargetKind
+from lacewinggw.agent.target import TargetKind, TargetStatus
 from lacewinggw.agent.weights import Spreader
 from lacewinggw.background import Background
 from lacewinggw.clients.engine import (
@@ -45,14 +45,14 @@
 from lacewinggw.metrics import Metrics, RetryReason
 from lacewinggw.wire.network import Network
 
-READ_BACK_S = 1.0
-RETRY_S = 0.5
-ORDERS = (Load, Activate, Reconfigure, Unload)
+READ_BACK_INTERVAL_S = 1.0
+RETRY_INTERVAL_S = 0.5
+ORDER_STEPS = (Load, Activate, Reconfigure, Unload)
 
 log = get_logger(__name__)
 
 
-class TargetKeeper:
+class TargetReconciler:
     """One target and the loop that follows what is wanted of it.
 
     Orders are given only while `is_current` says that the configuration is the newest, so that a
@@ -63,7 +63,7 @@
     def __init__(
         self,
         network: Network,
-        gate: TargetGate,
+        target_status: TargetStatus,
         engine: EngineClient,
         spreader: Spreader,
         requests: RequestService,
@@ -74,7 +74,7 @@
         metrics: Metrics,
     ) -> None:
         self._network = network
-        self._gate = gate
+        self._target_status = target_status
         self._engine = engine
         self._spreader = spreader
         self._requests = requests
@@ -113,36 +113,36 @@
         wanted = self._wanted()
         try:
             step = next_step(wanted, await self._observe(wanted))
-            if isinstance(step, ORDERS) and not self._is_current():
-                return RETRY_S
-            pause_s = await self._carry_out(wanted, step)
+            if isinstance(step, ORDER_STEPS) and not self._is_current():
+                return RETRY_INTERVAL_S
+            pause_s = await self._execute(wanted, step)
             return max(pause_s, self._pause_after(step))
         except LacewingError as error:
             self._metrics.retry(_retry_reason(error))
             log.warning("target_step_failed", code=error.code, reason=error.reason)
-            self._show_failure(error)
-            return RETRY_S
+            self._set_failure(error)
+            return RETRY_INTERVAL_S
 
     def _pause_after(self, step: Step) -> float:
         """Return the seconds to wait when an order was carried out and changed nothing."""
         repeated = step == self._last_step and not isinstance(step, Stage)
         self._last_step = step
-        return RETRY_S if repeated else 0.0
+        return RETRY_INTERVAL_S if repeated else 0.0
 
-    def _show_failure(self, error: LacewingError) -> None:
+    def _set_failure(self, error: LacewingError) -> None:
         """A target that answers and serves goes on, whatever holds its next release up."""
-        if isinstance(error, TargetUnreachable) or not self._gate.serving:
-            self._show(TargetState.FAILED, str(error))
+        if isinstance(error, TargetUnreachable) or not self._target_status.serving:
+            self._set_state(TargetState.FAILED, str(error))
         else:
-            self._show(self._gate.state, str(error))
+            self._set_state(self._target_status.state, str(error))
 
     async def _observe(self, wanted: DesiredState | None) -> ObservedState:
-        if self._gate.kind is TargetKind.PLAIN:
+        if self._target_status.kind is TargetKind.PLAIN:
             return ObservedState(reachable=await self._accepts_connections())
         state = await self._engine.state()
-        self._read_back(state.active)
+        self._update_active(state.active)
         loaded = frozenset(state.loaded)
-        self._note_ready(wanted, loaded)
+        self._update_ready(wanted, loaded)
         incoming = incoming_digest(wanted, state.active, loaded)
         progress = await self._progress_of(Digest(incoming)) if incoming else StagingProgress()
         return ObservedState(
@@ -158,50 +158,50 @@
 
     async def _accepts_connections(self) -> bool:
         try:
-            stream = await self._network.connect(self._gate.address)
+            stream = await self._network.connect(self._target_status.address)
         except (OSError, TimeoutError):
             return False
         stream.close()
         return True
 
-    def _read_back(self, active: str) -> None:
+    def _update_active(self, active: str) -> None:
         """Note what the target runs; when it is not what was thought, stop offering it requests."""
-        if active == self._gate.active_digest:
+        if active == self._target_status.active_digest:
             return
-        self._gate.serving = False
-        self._gate.active_digest = active
+        self._target_status.serving = False
+        self._target_status.active_digest = active
         self._on_change()
 
-    def _note_ready(self, wanted: DesiredState | None, loaded: frozenset[str]) -> None:
+    def _update_ready(self, wanted: DesiredState | None, loaded: frozenset[str]) -> None:
         next_digest = wanted.next_digest if wanted is not None else ""
         ready = next_digest if next_digest in loaded else ""
-        if ready != self._gate.ready_digest:
-            self._gate.ready_digest = ready
+        if ready != self._target_status.ready_digest:
+            self._target_status.ready_digest = ready
             self._on_change()
 
-    async def _carry_out(self, wanted: DesiredState | None, step: Step) -> float:
+    async def _execute(self, wanted: DesiredState | None, step: Step) -> float:
         if wanted is None or isinstance(step, Retire):
             await self._retire()
-            return READ_BACK_S
+            return READ_BACK_INTERVAL_S
         match step:
             case WaitForChange(reason, serving):
-                self._show_progress(wanted, serving, reason)
-                return READ_BACK_S
+                self._set_progress(wanted, serving, reason)
+                return READ_BACK_INTERVAL_S
             case Stage(digest, serving):
-                self._show_progress(wanted, serving, "")
+                self._set_progress(wanted, serving, "")
                 await self._stage(Digest(digest))
             case Load(digest, serving):
-                self._show_progress(wanted, serving, "")
+                self._set_progress(wanted, serving, "")
                 await self._load(wanted, Digest(digest))
             case Activate(digest):
                 await self._activate(wanted, Digest(digest))
             case Reconfigure():
-                await self._adapt(step)
+                await self._change_role_and_adapters(step)
             case Unload(digests):
                 await self._unload(digests)
             case Serve():
                 self._serve(wanted)
-                return READ_BACK_S
+                return READ_BACK_INTERVAL_S
         return 0.0
 
     async def _stage(self, digest: Digest) -> None:
@@ -223,7 +223,7 @@
     async def _order(self, order: Order) -> None:
         fence = self._fence()
         await self._engine.order(order, fence)
-        if self._gate.fences:
+        if self._target_status.fences:
             await self._check_fence(fence)
 
     async def _check_fence(self, fence: int) -> None:
@@ -244,20 +244,20 @@
 
     async def _activate(self, wanted: DesiredState, digest: Digest) -> None:
         """Swap: no request may see two digests, so those on the old one end first."""
-        self._gate.serving = False
-        self._show(TargetState.LOADING, "")
+        self._target_status.serving = False
+        self._set_state(TargetState.LOADING, "")
         await self._requests.quiesce()
         try:
             await self._order(ActivateOrder(digest))
             state = await self._engine.state()
-            self._gate.active_digest = state.active
+            self._target_status.active_digest = state.active
             if state.active != digest:
                 raise ReadBackMismatch(f"ordered {digest}, the target reports {state.active!r}")
             self._serve(wanted)
         finally:
             self._requests.resume()
 
-    async def _adapt(self, step: Reconfigure) -> None:
+    async def _change_role_and_adapters(self, step: Reconfigure) -> None:
         """Change role and adapters while no request runs that could see the change half done."""
         await self._requests.quiesce()
         try:
@@ -270,34 +270,34 @@
         finally:
             self._requests.resume()
 
-    def _serve(self, wanted: DesiredState, held_up_by: str = "") -> None:
-        self._gate.service = wanted.service
-        self._gate.release = wanted.release
-        self._gate.serving = True
-        self._show(TargetState.SERVING, held_up_by)
+    def _serve(self, wanted: DesiredState, detail: str = "") -> None:
+        self._target_status.service = wanted.service
+        self._target_status.release = wanted.release
+        self._target_status.serving = True
+        self._set_state(TargetState.SERVING, detail)
 
     async def _retire(self) -> None:
-        if self._gate.serving:
-            self._gate.serving = False
+        if self._target_status.serving:
+            self._target_status.serving = False
             await self._requests.quiesce()
             self._requests.resume()
-        self._show(TargetState.IDLE, "no service is placed on this host")
+        self._set_state(TargetState.IDLE, "no service is placed on this host")
 
-    def _show_progress(self, wanted: DesiredState, serving: bool, reason: str) -> None:
+    def _set_progress(self, wanted: DesiredState, serving: bool, reason: str) -> None:
         if serving:
             self._serve(wanted, reason)
         else:
-            self._show(TargetState.FETCHING, reason)
+            self._set_state(TargetState.FETCHING, reason)
 
-    def _show(self, state: TargetState, held_up_by: str) -> None:
-        gate = self._gate
+    def _set_state(self, state: TargetState, detail: str) -> None:
+        target_status = self._target_status
         if state is TargetState.FAILED:
-            gate.serving = False
-        if (gate.state, gate.held_up_by) == (state, held_up_by):
+            target_status.serving = False
+        if (target_status.state, target_status.detail) == (state, detail):
             return
-        changed = gate.state is not state
-        gate.state = state
-        gate.held_up_by = held_up_by
+        changed = target_status.state is not state
+        target_status.state = state
+        target_status.detail = detail
         if changed:
             self._on_change()
 
--- a/src/lacewinggw/agent/requests.py
+++ b/src/lacewinggw/agent/requests.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 from lacewinggw.agent.executor import Executor
-from lacewinggw.agent.runs import KeptRuns, Listener, Run, request_digest
-from lacewinggw.agent.target import TargetGate
+from lacewinggw.agent.runs import RetainedRuns, Run, RunListener, request_digest
+from lacewinggw.agent.target import TargetStatus
 from lacewinggw.clients.engine import EngineClient
 from lacewinggw.clients.plain import PlainClient
 from lacewinggw.decisions.atmostonce import (
@@ -42,11 +42,11 @@
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import Exchange, Identity
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 NOT_SERVING_RETRY_MS = 500
-RESERVATIONS_LIMIT = 10_000
-RESERVATIONS_LOOK_S = 0.1
-LINGER_S = 1.0  # until every entry has heard that the target leaves
+MAX_RESERVATIONS = 10_000
+RESERVATION_POLL_S = 0.1
+MIN_DRAIN_S = 1.0  # until every entry has heard that the target leaves
 
 
 class RequestService:
@@ -63,35 +63,35 @@
     def __init__(
         self,
         settings: Settings,
-        gate: TargetGate,
+        target_status: TargetStatus,
         engine: EngineClient,
         identity: Identity,
         metrics: Metrics,
         rng: random.Random,
         plain: PlainClient | None,
     ) -> None:
-        self._gate = gate
+        self._target_status = target_status
         self._identity = identity
         self._window = settings.requests.piece_window
-        self._reservation_s = settings.requests.reservation_ms / MILLISECONDS
+        self._reservation_s = settings.requests.reservation_ms / MS_PER_S
         self._book = RunRegistry(Incarnation(identity.incarnation), rng)
         self._runs: dict[RunId, Run] = {}
-        self._kept = KeptRuns()
+        self._retained = RetainedRuns()
         self._draining = False
-        self._listening = 0
-        self._none_left = asyncio.Event()
-        self._none_left.set()
-        metrics.read_gauge("pieces_held", self._count_held)
+        self._listener_count = 0
+        self._all_done = asyncio.Event()
+        self._all_done.set()
+        metrics.read_gauge("pieces_held", self._count_held_pieces)
         metrics.read_gauge("reservations", lambda: self._book.reserved)
         self._executor = Executor(
-            settings, gate, engine, plain, self._book, metrics, self._note_ended
+            settings, target_status, engine, plain, self._book, metrics, self._on_run_ended
         )
 
     @classmethod
     def from_config(
         cls,
         settings: Settings,
-        gate: TargetGate,
+        target_status: TargetStatus,
         engine: EngineClient,
         identity: Identity,
         metrics: Metrics,
@@ -99,9 +99,9 @@
         plain: PlainClient | None = None,
     ) -> "RequestService":
         """Build the service of one target; a plain target needs its `plain` client."""
-        return cls(settings, gate, engine, identity, metrics, rng, plain)
+        return cls(settings, target_status, engine, identity, metrics, rng, plain)
 
-    def watch_live(
+    def set_live_callbacks(
         self, on_first_piece: Callable[[float], None], on_bytes: Callable[[int], None]
     ) -> None:
         """Have each run's wait for its first piece, and the bytes that come, told on."""
@@ -128,7 +128,7 @@
         """Take new requests again."""
         self._draining = False
 
-    async def drained(self, limit_s: float) -> bool:
+    async def wait_drained(self, limit_s: float) -> bool:
         """Wait until no request waits, runs or has parts of its answer still to be sent.
 
         It takes `LINGER_S` at least, in which offers already on their way are refused and not lost,
@@ -137,10 +137,10 @@
         """
         try:
             async with asyncio.timeout(limit_s):
-                await asyncio.sleep(LINGER_S)
-                await self._none_left.wait()
+                await asyncio.sleep(MIN_DRAIN_S)
+                await self._all_done.wait()
                 while self._book.count_open(self._now()):  # noqa: ASYNC110
-                    await asyncio.sleep(RESERVATIONS_LOOK_S)
+                    await asyncio.sleep(RESERVATION_POLL_S)
         except TimeoutError:
             return False
         return True
@@ -174,17 +174,17 @@
     def _reserve(self, head: messages.RequestHead) -> messages.Reservation:
         _check_head(head)
         self._check_serving(head)
-        if self._book.reserved >= RESERVATIONS_LIMIT:
+        if self._book.reserved >= MAX_RESERVATIONS:
             reason = "too many reservations are open at the target"
             raise Overloaded(reason, retry_after_ms=NOT_SERVING_RETRY_MS)
-        life_s = max(self._reservation_s, head.deadline_ms / MILLISECONDS)
+        life_s = max(self._reservation_s, head.deadline_ms / MS_PER_S)
         nonce = self._book.reserve(life_s, self._now())
         return messages.Reservation(
             nonce=nonce,
             host=self._identity.host,
             incarnation=self._identity.incarnation,
-            expires_in_ms=int(life_s * MILLISECONDS),
-            digest=self._gate.active_digest,
+            expires_in_ms=int(life_s * MS_PER_S),
+            digest=self._target_status.active_digest,
         )
 
     def _withdraw(self, asked: messages.Withdraw) -> messages.Withdrawal:
@@ -193,7 +193,7 @@
             return messages.Withdrawal(messages.Standing.UNKNOWN, mine)
         nonce = asked.nonce or ""
         name = RunId(nonce or asked.request_id or "")
-        run = self._runs.get(name) or self._kept.get(name)
+        run = self._runs.get(name) or self._retained.get(name)
         standing = self._book.withdraw(name, self._now(), bool(nonce))
         if run is not None and standing == messages.Standing.NEVER_STARTED:
             self._executor.withdraw(run)
@@ -204,24 +204,24 @@
     ) -> None:
         _check_head(head)
         run = self._admit(head, body, nonce)
-        listener = Listener(run, exchange, head.resume_from, self._window)
-        self._listening += 1
-        self._none_left.clear()
-        follower = asyncio.get_running_loop().create_task(_follow(exchange, listener))
+        listener = RunListener(run, exchange, head.resume_from, self._window)
+        self._listener_count += 1
+        self._all_done.clear()
+        follower = asyncio.get_running_loop().create_task(_read_follow_ups(exchange, listener))
         try:
             await listener.send_all()
         finally:
             follower.cancel()
-            self._listening -= 1
+            self._listener_count -= 1
             if head.repeatable and not run.ended and not run.listeners:
                 self._executor.cancel(run)
-            self._note_left()
+            self._check_all_done()
 
     def _admit(self, head: messages.RequestHead, body: bytes, nonce: str) -> Run:
         """Return the run to listen to: a new one, or the one that there is by that name."""
         name = run_id(nonce, head.request_id, head.attempt)
         digest = request_digest(head, body)
-        run = self._runs.get(name) or self._kept.get(name)
+        run = self._runs.get(name) or self._retained.get(name)
         if run is not None:
             if run.request_digest != digest:
                 raise KeyReused("the reservation was used for a request with another content")
@@ -231,12 +231,12 @@
         if obstacle is not None:
             raise _obstacle_error(obstacle)
         self._check_serving(head)
-        deadline = now + min(head.deadline_ms / MILLISECONDS, MAX_DEADLINE_S)
-        self._executor.check_room(head, deadline)
+        deadline = now + min(head.deadline_ms / MS_PER_S, MAX_DEADLINE_S)
+        self._executor.check_capacity(head, deadline)
         self._book.take(name, now, bool(nonce))
         run = Run(name, head, body, digest, deadline)
         self._runs[name] = run
-        self._none_left.clear()
+        self._all_done.clear()
         self._executor.submit(run)
         return run
 
@@ -245,35 +245,35 @@
             raise Draining("the target is leaving")
         if head.deadline_ms <= 0:
             raise DeadlineTooNear("the deadline passed on the way to the target")
-        if not self._gate.serving or head.service_name != self._gate.service:
+        if not self._target_status.serving or head.service_name != self._target_status.service:
             reason = f"the target does not serve {head.service_name}"
             raise NoTarget(reason, retry_after_ms=NOT_SERVING_RETRY_MS)
-        if head.digest and head.digest != self._gate.active_digest:
+        if head.digest and head.digest != self._target_status.active_digest:
             raise ReleaseMoved("the target serves other weights")
 
-    def _count_held(self) -> int:
+    def _count_held_pieces(self) -> int:
         """Return how many pieces of requests in progress are in memory."""
         return sum(len(run.pieces) for run in self._runs.values())
 
-    def _note_ended(self, run: Run) -> None:
+    def _on_run_ended(self, run: Run) -> None:
         self._runs.pop(run.id, None)
         if run.finish is not None and not run.head.repeatable:
-            self._kept.add(run, self._now())
-        self._note_left()
+            self._retained.add(run, self._now())
+        self._check_all_done()
 
-    def _note_left(self) -> None:
-        if not self._runs and not self._listening:
-            self._none_left.set()
+    def _check_all_done(self) -> None:
+        if not self._runs and not self._listener_count:
+            self._all_done.set()
 
 
-async def _follow(exchange: Exchange, listener: Listener) -> None:
+async def _read_follow_ups(exchange: Exchange, listener: RunListener) -> None:
     """Take the caller's credit as it comes, until it wants no more."""
     while True:
         match await exchange.follow_up():
             case messages.Credit(pieces=pieces):
                 listener.add_credit(max(0, pieces))
             case messages.Cancel():
-                listener.leave()
+                listener.stop()
                 return
 
 
--- a/src/lacewinggw/agent/runs.py
+++ b/src/lacewinggw/agent/runs.py
@@ -13,9 +13,9 @@
 from lacewinggw.generated.messages.ttypes import Finish, Pieces, RequestHead
 from lacewinggw.wire.peers import Exchange
 
-KEEP_BYTES = 8 << 20
-KEEP_S = 600.0
-KEPT_OVERHEAD_BYTES = 512
+RETAINED_BYTES_LIMIT = 8 << 20
+RETENTION_S = 600.0
+RUN_OVERHEAD_BYTES = 512
 
 
 def request_digest(head: RequestHead, body: bytes) -> str:
@@ -44,16 +44,16 @@
         self.body = body
         self.request_digest = digest
         self.deadline = deadline
-        self.first = head.resume_from
+        self.first_index = head.resume_from
         self.started = False
         self.ran_s: float | None = None  # once it came to its end
         self.weights_digest = ""
         self.pieces: list[bytes] = []
         self.finish: Finish | None = None
         self.error: LacewingError | None = None
-        self.listeners: set[Listener] = set()
+        self.listeners: set[RunListener] = set()
         self._content = hashlib.sha256()
-        self._room: asyncio.Future[None] | None = None
+        self._backlog_reduced: asyncio.Future[None] | None = None
 
     @property
     def ended(self) -> bool:
@@ -63,7 +63,7 @@
     @property
     def size_bytes(self) -> int:
         """About how much memory it takes."""
-        return KEPT_OVERHEAD_BYTES + sum(map(len, self.pieces))
+        return RUN_OVERHEAD_BYTES + sum(map(len, self.pieces))
 
     @property
     def content_digest(self) -> str:
@@ -77,7 +77,7 @@
             self._content.update(piece)
         self._wake()
 
-    def end(self, finish: Finish) -> None:
+    def complete(self, finish: Finish) -> None:
         """End it with an answer, unless it has ended already."""
         if not self.ended:
             self.finish = finish
@@ -89,39 +89,39 @@
             self.error = error
             self._wake()
 
-    async def wait_for_room(self, window: int) -> None:
+    async def wait_for_listeners(self, window: int) -> None:
         """Wait while each listener is more than `window` pieces behind."""
         while self.listeners and not self.ended:
-            behind = min(listener.behind for listener in self.listeners)
+            behind = min(listener.backlog for listener in self.listeners)
             if behind <= window:
                 return
-            self._room = asyncio.get_running_loop().create_future()
-            await self._room
+            self._backlog_reduced = asyncio.get_running_loop().create_future()
+            await self._backlog_reduced
 
     def note_sent(self) -> None:
         """Let the target go on if it waits for a listener."""
-        if self._room is not None and not self._room.done():
-            self._room.set_result(None)
+        if self._backlog_reduced is not None and not self._backlog_reduced.done():
+            self._backlog_reduced.set_result(None)
 
     def _wake(self) -> None:
         for listener in self.listeners:
             listener.wake()
 
 
-class Listener:
+class RunListener:
     """One exchange that gets the pieces of a run, no more than its credit at a time."""
 
     def __init__(self, run: Run, exchange: Exchange, first: int, credit: int) -> None:
         self._run = run
         self._exchange = exchange
-        self._sent = max(0, first - run.first)
+        self._sent = max(0, first - run.first_index)
         self._credit = credit
-        self._told_weights = False
-        self._left = False
+        self._sent_weights = False
+        self._stopped = False
         self._waiting: asyncio.Future[None] | None = None
 
     @property
-    def behind(self) -> int:
+    def backlog(self) -> int:
         """How many pieces it has not sent yet."""
         return len(self._run.pieces) - self._sent
 
@@ -130,9 +130,9 @@
         self._credit += pieces
         self.wake()
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Stop listening: the caller wants no more."""
-        self._left = True
+        self._stopped = True
         self.wake()
 
     def wake(self) -> None:
@@ -148,9 +148,9 @@
         try:
             while True:
                 self._send_ready()
-                if self._left:
+                if self._stopped:
                     raise CallerLeft("the caller wants no more")
-                if run.ended and (self.behind <= 0 or run.error is not None):
+                if run.ended and (self.backlog <= 0 or run.error is not None):
                     break
                 self._waiting = loop.create_future()
                 await self._waiting
@@ -167,20 +167,24 @@
         count = min(len(run.pieces) - sent, self._credit)
         if count <= 0:
             return
-        weights = "" if self._told_weights else run.weights_digest
-        self._told_weights = True
-        self._exchange.reply(Pieces(run.first + sent, run.pieces[sent : sent + count], weights))
+        weights = "" if self._sent_weights else run.weights_digest
+        self._sent_weights = True
+        self._exchange.reply(
+            Pieces(run.first_index + sent, run.pieces[sent : sent + count], weights)
+        )
         self._sent += count
         self._credit -= count
         run.note_sent()
 
 
-class KeptRuns:
+class RetainedRuns:
     """Ended runs whose answers may be asked for again, within bounds of bytes and time."""
 
-    def __init__(self, limit_bytes: int = KEEP_BYTES, keep_s: float = KEEP_S) -> None:
+    def __init__(
+        self, limit_bytes: int = RETAINED_BYTES_LIMIT, retention_s: float = RETENTION_S
+    ) -> None:
         self._limit_bytes = limit_bytes
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         self._bytes = 0
         self._runs: OrderedDict[RunId, tuple[Run, float]] = OrderedDict()
 
@@ -195,7 +199,7 @@
         self._bytes += run.size_bytes
         while self._runs:
             oldest, added_at = next(iter(self._runs.values()))
-            if self._bytes <= self._limit_bytes and added_at > now - self._keep_s:
+            if self._bytes <= self._limit_bytes and added_at > now - self._retention_s:
                 return
             del self._runs[oldest.id]
             self._bytes -= oldest.size_bytes
--- a/src/lacewinggw/agent/target.py
+++ b/src/lacewinggw/agent/target.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class TargetGate:
+class TargetStatus:
     """Shared between the keeper, which changes it, and the request service, which obeys it.
 
     `active_digest` is what was last read back from the target, `""` when nothing is active or when
@@ -31,5 +31,5 @@
     serving: bool = False
     state: TargetState = TargetState.STARTING
     ready_digest: str = ""
-    held_up_by: str = ""
+    detail: str = ""
     fences: bool = False
--- a/src/lacewinggw/agent/views.py
+++ b/src/lacewinggw/agent/topologies.py
@@ -14,7 +14,7 @@
 BadSources = Callable[[Digest], Sequence[str]]
 
 
-class PlanLike(Protocol):
+class TopologyPlanner(Protocol):
     """What derives the links of a release."""
 
     def derive(self, me: ReleaseHost, hosts: Iterable[ReleaseHost], digest: Digest) -> Topology:
@@ -31,7 +31,7 @@
     prefer: Prefer
 
 
-class HostViews:
+class TopologyTracker:
     """The topology of each due release, derived from the hosts that are live and not suspect.
 
     `bad_sources` tells which hosts were left for their corrupt chunks of a release; they are
@@ -41,48 +41,50 @@
     def __init__(
         self, me: ReleaseHost, settings: SpreadSettings, mesh: Mesh, bad_sources: BadSources
     ) -> None:
-        self.other_plan: PlanLike | None = None
+        self.plan_override: TopologyPlanner | None = None
         self.topologies: dict[Digest, Topology] = {}
         self._me = me
         self._settings = settings
         self._mesh = mesh
         self._bad_sources = bad_sources
         self._members: Mapping[HostId, Member] = {}
-        self._derived_from: tuple[frozenset[HostId], int] = (frozenset(), 0)
+        self._derived_inputs: tuple[frozenset[HostId], int] = (frozenset(), 0)
 
     def set_members(self, members: Sequence[Member]) -> None:
         """Take the list of live hosts."""
         self._members = {member.host: member for member in members}
         self._mesh.set_addresses({member.host: member.address for member in members})
 
-    def is_first(self, digest: Digest) -> bool:
+    def is_first_at_origin(self, digest: Digest) -> bool:
         """Return whether this host is one of those that ask the origin first."""
         topology = self.topologies.get(digest)
         return topology is not None and any(each.at_origin == 0 for each in topology.columns)
 
     def is_outdated(self) -> bool:
         """Return whether hosts have become suspect or bad, or are so no more."""
-        return self._derived_from != self._facts()
+        return self._derived_inputs != self._current_inputs()
 
     def derive(self, due: Mapping[Digest, DueRelease]) -> None:
         """Work out the topology of each due release, and want links to the neighbours in it."""
-        self._derived_from = self._facts()
-        suspects = self._derived_from[0]
+        self._derived_inputs = self._current_inputs()
+        suspects = self._derived_inputs[0]
         live = {
             host: ReleaseHost(host, member.place)
             for host, member in self._members.items()
             if host not in suspects
         }
         self.topologies = {digest: self._derive_one(each, live) for digest, each in due.items()}
-        self._mesh.want({host for each in self.topologies.values() for host in each.neighbours})
+        self._mesh.set_wanted_hosts(
+            {host for each in self.topologies.values() for host in each.neighbours}
+        )
 
     def _derive_one(self, due: DueRelease, live: Mapping[HostId, ReleaseHost]) -> Topology:
         bad = self._bad_sources(due.digest)
         hosts = [live[host] for host in due.hosts if host in live and host not in bad]
         return self._plan(due).derive(self._me, hosts, due.digest)
 
-    def _plan(self, due: DueRelease) -> PlanLike:
-        return self.other_plan or TopologyRules(
+    def _plan(self, due: DueRelease) -> TopologyPlanner:
+        return self.plan_override or TopologyRules(
             local=self._settings.neighbours,
             remote=self._settings.remote_neighbours,
             columns=self._settings.gateways,
@@ -90,6 +92,6 @@
             per_place=due.prefer == Prefer.TIME,
         )
 
-    def _facts(self) -> tuple[frozenset[HostId], int]:
+    def _current_inputs(self) -> tuple[frozenset[HostId], int]:
         bad = sum(len(self._bad_sources(digest)) for digest in self.topologies)
         return self._mesh.suspects, bad
--- a/src/lacewinggw/agent/uploads.py
+++ b/src/lacewinggw/agent/uploads.py
@@ -20,15 +20,15 @@
 from lacewinggw.wire.peers import Exchange
 
 SLICE_S = 0.01  # a live answer waits at most so long behind a slice
-SMALLEST_SLICE_BYTES = 4 << 10  # 9 ms of a link of 3.8 Mbit/s, before a live answer gets its turn
-LARGEST_SLICE_BYTES = 256 << 10
-STUCK_S = 0.5
+MIN_SLICE_BYTES = 4 << 10  # 9 ms of a link of 3.8 Mbit/s, before a live answer gets its turn
+MAX_SLICE_BYTES = 256 << 10
+DRAIN_TIMEOUT_S = 0.5
 # Chunks sent by turns. Modelled for 15 hosts (tests/fleet/spread_links.py): with 1 a slice waits
 # 36 ms before the link of its receiver, with 3 it waits 10 ms and all is there 0.1 s later.
-UPLOADS_AT_ONCE = 3
+CONCURRENT_UPLOADS = 3
 
 FindChunk = Callable[[Digest, int], bytes | None]
-NoteUpload = Callable[[Digest, int], None]
+OnUpload = Callable[[Digest, int], None]
 
 
 @dataclass(eq=False)
@@ -58,18 +58,18 @@
         self,
         pacer: Pacer,
         rate: Callable[[], float],
-        per_host: int,
-        find: FindChunk,
+        max_per_host: int,
+        find_chunk: FindChunk,
         held_by: HeldBy,
-        note: NoteUpload,
+        on_upload: OnUpload,
         metrics: Metrics,
     ) -> None:
         self._pacer = pacer
         self._rate = rate
-        self._queue = UploadQueue(per_host)
-        self.find = find
+        self._queue = UploadQueue(max_per_host)
+        self.find_chunk = find_chunk
         self._held_by = held_by
-        self._note = note
+        self._on_upload = on_upload
         self._stuck = metrics.counter("uploads_stuck")
         self._waiting: dict[UploadRequest, _Upload] = {}
         self._arrived = asyncio.Event()
@@ -94,7 +94,7 @@
         Raises `ChunkNotHeld` for a chunk that is not held and `LinkBusy` when its host has too
         many waiting.
         """
-        if self.find(request.digest, request.index) is None:
+        if self.find_chunk(request.digest, request.index) is None:
             raise ChunkNotHeld(f"chunk {request.index} of {request.digest} is not here")
         if not self._queue.add(request):
             raise LinkBusy(f"{request.host} has too many chunks waiting")
@@ -122,7 +122,7 @@
     async def _run(self) -> None:
         turns: deque[_Upload] = deque()
         while True:
-            self._fill(turns)
+            self._start_uploads(turns)
             if not turns:
                 self._arrived.clear()
                 await self._arrived.wait()
@@ -141,9 +141,9 @@
             else:
                 turns.append(upload)
 
-    def _fill(self, turns: deque[_Upload]) -> None:
+    def _start_uploads(self, turns: deque[_Upload]) -> None:
         """Begin with further chunks, as far as there are turns for them."""
-        while len(turns) < UPLOADS_AT_ONCE:
+        while len(turns) < CONCURRENT_UPLOADS:
             request = self._queue.take(self._held_by)
             if request is None:
                 return
@@ -152,7 +152,7 @@
     async def _send_slice(self, upload: _Upload) -> bool:
         """Send the next slice of a chunk; return whether it was the last."""
         request = upload.request
-        data = self.find(request.digest, request.index)
+        data = self.find_chunk(request.digest, request.index)
         if data is None:
             raise ChunkNotHeld(f"chunk {request.index} of {request.digest} is not here")
         piece = data[upload.sent_bytes : upload.sent_bytes + self._slice_bytes()]
@@ -166,13 +166,13 @@
             upload.exchange.finish(message)
         else:
             upload.exchange.reply(message)
-        self._note(request.digest, len(piece))
+        self._on_upload(request.digest, len(piece))
         await self._drain(upload)
         return is_last
 
     async def _drain(self, upload: _Upload) -> None:
         try:
-            async with asyncio.timeout(STUCK_S):
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await upload.exchange.link.drain()
         except TimeoutError:
             self._stuck.add()
@@ -181,4 +181,4 @@
 
     def _slice_bytes(self) -> int:
         fitting = int(self._rate() * SLICE_S)
-        return max(SMALLEST_SLICE_BYTES, min(LARGEST_SLICE_BYTES, fitting))
+        return max(MIN_SLICE_BYTES, min(MAX_SLICE_BYTES, fitting))
--- a/src/lacewinggw/agent/weights.py
+++ b/src/lacewinggw/agent/weights.py
@@ -15,18 +15,18 @@
 
 from lacewinggw.agent.chunks import ChunkStore
 from lacewinggw.agent.downloads import (
+    DownloadContext,
     LocalChunks,
     MakeSpread,
     OnChunk,
     ReleaseDownload,
-    Surroundings,
     WeightSource,
 )
-from lacewinggw.agent.links import BURST_S, CATCH_UP_S, LiveGauge, Pacer
+from lacewinggw.agent.links import BURST_S, CATCH_UP_S, LiveTrafficMeter, Pacer
 from lacewinggw.agent.manifests import CheckManifest, ManifestFinder, check_manifest
 from lacewinggw.agent.mesh import Mesh
+from lacewinggw.agent.topologies import DueRelease, TopologyPlanner, TopologyTracker
 from lacewinggw.agent.uploads import Uploader
-from lacewinggw.agent.views import DueRelease, HostViews, PlanLike
 from lacewinggw.background import Background
 from lacewinggw.clients.membership import Member
 from lacewinggw.decisions.chunkscheduler import DECIDE_INTERVAL_S
@@ -42,8 +42,8 @@
 
 MS_PER_S = 1000.0
 PERCENT = 100.0
-ANNOUNCE_S = 0.01
-GREET_S = 1.0
+ANNOUNCE_INTERVAL_S = 0.01
+HAVE_MAP_REQUEST_INTERVAL_S = 1.0
 
 
 def spread_rules(settings: Settings, has_store: bool = True) -> SpreadRules:
@@ -77,43 +77,45 @@
         local: LocalChunks | None = None,
     ) -> None:
         agent = settings.agent
-        self.live = LiveGauge(agent.link_bytes_per_s, agent.weights_share_percent / PERCENT)
+        self.live_traffic = LiveTrafficMeter(
+            agent.link_bytes_per_s, agent.weights_share_percent / PERCENT
+        )
         self._settings = settings.spread
         self._node = node
         self._place = Place(settings.process.place)
         self._chunks = ChunkStore()
         self._mesh = Mesh(node, self._link_up, self._link_down)
         me = ReleaseHost(HostId(settings.process.host), self._place)
-        self._views = HostViews(me, settings.spread, self._mesh, self._bad_sources)
-        self._around = Surroundings(
+        self._topologies = TopologyTracker(me, settings.spread, self._mesh, self._bad_sources)
+        self._context = DownloadContext(
             chunks=self._chunks,
             mesh=self._mesh,
             origin=origin,
             store=store,
-            downlink=Pacer(self.live.weights_rate, BURST_S),
+            downlink=Pacer(self.live_traffic.weights_rate, BURST_S),
             place=self._place,
             rules=spread_rules(settings, has_store=store is not None),
             rng=rng,
             metrics=metrics,
         )
         self.uploader = Uploader(
-            Pacer(self.live.weights_rate, CATCH_UP_S),
-            self.live.weights_rate,
+            Pacer(self.live_traffic.weights_rate, CATCH_UP_S),
+            self.live_traffic.weights_rate,
             2 * self._settings.in_flight,
-            self._find,
+            self._find_chunk,
             self._held_by,
             self._note_upload,
             metrics,
         )
-        self._finder = ManifestFinder(origin, rng, check)
+        self._manifest_finder = ManifestFinder(origin, rng, check)
         self._local = local
-        self._sent = metrics.counter("weights_sent_bytes")
+        self._sent_bytes = metrics.counter("weights_sent_bytes")
         metrics.read_gauge("weights_memory_bytes", lambda: self._chunks.held_bytes)
         metrics.read_gauge("peer_sent_bytes", lambda: node.sent_bytes)
         self._due: dict[Digest, DueRelease] = {}
         self._downloads: dict[Digest, ReleaseDownload] = {}
         self._searches: dict[Digest, asyncio.Task[None]] = {}
-        self._begun = asyncio.Condition()
+        self._download_added = asyncio.Condition()
         self._on_chunk: list[OnChunk] = []
         self._loop = Background("spread", self._run)
 
@@ -135,15 +137,15 @@
         """
         return cls(settings, node, origin, store, metrics, rng, check, local)
 
-    def use_policy(self, plan: PlanLike, make_spread: MakeSpread) -> None:
+    def use_policy(self, plan: TopologyPlanner, make_spread: MakeSpread) -> None:
         """Spread by another policy, from the next release on; for comparisons."""
-        self._views.other_plan = plan
-        self._around = replace(self._around, make_spread=make_spread)
+        self._topologies.plan_override = plan
+        self._context = replace(self._context, make_spread=make_spread)
 
     def set_origin_rate(self, bytes_per_s: float) -> None:
         """Have the releases that are due from now on count on this rate of the origin's link."""
-        rules = replace(self._around.rules, origin_bytes_per_s=bytes_per_s)
-        self._around = replace(self._around, rules=rules)
+        rules = replace(self._context.rules, origin_bytes_per_s=bytes_per_s)
+        self._context = replace(self._context, rules=rules)
 
     async def start(self) -> None:
         """Begin to serve and to fetch."""
@@ -162,8 +164,8 @@
 
     def set_members(self, members: Sequence[Member]) -> None:
         """Take the list of live hosts."""
-        self._views.set_members(members)
-        self._derive_views()
+        self._topologies.set_members(members)
+        self._derive_topologies()
 
     def set_due(self, due: Mapping[Digest, DueRelease]) -> None:
         """Take the releases due here. Those no longer due stop at once; chunks that the others
@@ -174,23 +176,23 @@
             return
         fresh = due.keys() - self._due.keys()
         self._due = dict(due)
-        self._derive_views()
+        self._derive_topologies()
         for digest in fresh:
             task = asyncio.get_running_loop().create_task(self._find_manifest(due[digest]))
             self._searches[digest] = task
-        self._drop_surplus()
+        self._drop_unused_chunks()
 
-    async def take_local(self) -> None:
+    async def add_local_chunks(self) -> None:
         """Count in once more what lies on this host, for releases that are not here whole."""
         if self._local is None:
             return
         for download in list(self._downloads.values()):
             if not download.complete.is_set():
-                await download.take_local(self._local)
+                await download.add_local_chunks(self._local)
 
     def _stop(self, digest: Digest) -> None:
         self._due.pop(digest, None)
-        self._views.topologies.pop(digest, None)
+        self._topologies.topologies.pop(digest, None)
         search = self._searches.pop(digest, None)
         if search is not None:
             search.cancel()
@@ -199,44 +201,46 @@
             download.close()
         self.uploader.forget(digest)
 
-    def _drop_surplus(self) -> None:
+    def _drop_unused_chunks(self) -> None:
         """Free chunks of releases no longer due, once it is known what the others share."""
         if self._due.keys() == self._downloads.keys():
             downloads = self._downloads.values()
             self._chunks.keep_only(h for each in downloads for h in each.manifest.chunk_hashes)
 
     async def _find_manifest(self, due: DueRelease) -> None:
-        manifest = await self._finder.find(due.digest, lambda: self._views.is_first(due.digest))
+        manifest = await self._manifest_finder.find(
+            due.digest, lambda: self._topologies.is_first_at_origin(due.digest)
+        )
         download = ReleaseDownload(
-            manifest, self._around, self._tell_chunk, lambda: self.uploader.waiting
+            manifest, self._context, self._notify_chunk, lambda: self.uploader.waiting
         )
         if self._local is not None:
-            await download.take_local(self._local)
+            await download.add_local_chunks(self._local)
         self._downloads[due.digest] = download
         self._searches.pop(due.digest, None)
-        download.begin()
-        self._drop_surplus()
-        topology = self._views.topologies.get(due.digest)
+        download.add_shared_chunks()
+        self._drop_unused_chunks()
+        topology = self._topologies.topologies.get(due.digest)
         if topology is not None:
             download.set_topology(topology)
             for host in topology.neighbours:
-                download.greet(host)
-        async with self._begun:
-            self._begun.notify_all()
+                download.request_have_map(host)
+        async with self._download_added:
+            self._download_added.notify_all()
 
     # ---- chunks ---------------------------------------------------------------------------
 
-    async def complete(self, digest: Digest) -> messages.Manifest:
+    async def wait_complete(self, digest: Digest) -> messages.Manifest:
         """Wait until every chunk of a due release holds its hash, and return its manifest."""
-        async with self._begun:
-            await self._begun.wait_for(lambda: digest in self._downloads)
+        async with self._download_added:
+            await self._download_added.wait_for(lambda: digest in self._downloads)
         download = self._downloads[digest]
         await download.complete.wait()
         return download.manifest
 
     def chunk(self, digest: Digest, index: int) -> bytes:
         """Return a verified chunk; raise `ChunkNotHeld` when it is not here."""
-        data = self._find(digest, index)
+        data = self._find_chunk(digest, index)
         if data is None:
             raise ChunkNotHeld(f"chunk {index} of {digest} is not here")
         return data
@@ -246,7 +250,7 @@
         download = self._downloads.get(digest)
         return download.manifest if download else None
 
-    def share_held(self, digest: Digest) -> float:
+    def held_fraction(self, digest: Digest) -> float:
         """Return the share of a due release's chunks that hold their hash, from 0 to 1."""
         download = self._downloads.get(digest)
         if download is None or not download.spread.chunk_count:
@@ -276,10 +280,23 @@
         if download is not None:
             return download.report()
         return messages.SpreadReport(
-            due.name, due.digest, 0, 0, 0, 0, 0, 0, 0, 0, 0, [], 0.0, self._finder.held_up_by
+            due.name,
+            due.digest,
+            0,
+            0,
+            0,
+            0,
+            0,
+            0,
+            0,
+            0,
+            0,
+            [],
+            0.0,
+            self._manifest_finder.last_error,
         )
 
-    def _find(self, digest: Digest, index: int) -> bytes | None:
+    def _find_chunk(self, digest: Digest, index: int) -> bytes | None:
         download = self._downloads.get(digest)
         if download is None or index not in download.spread.held:
             return None
@@ -290,7 +307,7 @@
         state = download.spread.neighbours.get(host) if download else None
         return len(state.chunks) if state else 0
 
-    def _tell_chunk(self, digest: Digest, index: int) -> None:
+    def _notify_chunk(self, digest: Digest, index: int) -> None:
         for callback in self._on_chunk:
             callback(digest, index)
 
@@ -298,7 +315,7 @@
         download = self._downloads.get(digest)
         if download is not None:
             download.traffic.uploaded_bytes += size
-        self._sent.add(size)
+        self._sent_bytes.add(size)
 
     # ---- other hosts ----------------------------------------------------------------------
 
@@ -306,7 +323,7 @@
         """Answer another host: manifests, chunks, and what it says it holds."""
         match exchange.message:
             case messages.Have() as have:
-                self._take_have(exchange, have)
+                self._handle_have(exchange, have)
             case messages.FetchChunk() as fetch:
                 remote = exchange.link.remote
                 request = UploadRequest(
@@ -325,36 +342,36 @@
                     raise UnknownDigest(f"no manifest of {fetch.digest} here yet")
                 exchange.finish(messages.ManifestData(download.manifest))
 
-    def _take_have(self, exchange: Exchange, have: messages.Have) -> None:
+    def _handle_have(self, exchange: Exchange, have: messages.Have) -> None:
         digest = Digest(have.digest)
         if digest not in self._due:
             return
         self._mesh.register(exchange.link)
         download = self._downloads.get(digest)
         if download is not None:
-            download.take_have(exchange.link.remote, have)
+            download.handle_have(exchange.link.remote, have)
         elif have.bitmap:
-            self._finder.hint(digest, exchange.link)
+            self._manifest_finder.add_holder(digest, exchange.link)
 
     def _link_up(self, host: HostId) -> None:
         link = self._mesh.link(host)
-        for digest, topology in self._views.topologies.items():
+        for digest, topology in self._topologies.topologies.items():
             if host not in topology.neighbours or link is None:
                 continue
             if digest in self._downloads:
-                self._downloads[digest].greet(host)
+                self._downloads[digest].request_have_map(host)
             else:
                 link.notify(messages.Have(digest, 0, bitmap=b"", added=[]))
 
     def _link_down(self, host: HostId) -> None:
         for download in self._downloads.values():
             download.neighbour_down(host)
-        self._derive_views()
+        self._derive_topologies()
 
-    def _derive_views(self) -> None:
-        self._views.derive(self._due)
+    def _derive_topologies(self) -> None:
+        self._topologies.derive(self._due)
         for digest, download in self._downloads.items():
-            download.set_topology(self._views.topologies[digest])
+            download.set_topology(self._topologies.topologies[digest])
 
     def _bad_sources(self, digest: Digest) -> list[str]:
         download = self._downloads.get(digest)
@@ -365,7 +382,7 @@
         loop = asyncio.get_running_loop()
         tick_at = greet_at = loop.time()
         while True:
-            await asyncio.sleep(ANNOUNCE_S if self._is_busy else DECIDE_INTERVAL_S)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S if self._is_busy else DECIDE_INTERVAL_S)
             for download in list(self._downloads.values()):
                 download.announce()
             if loop.time() < tick_at:
@@ -373,20 +390,20 @@
             tick_at = loop.time() + DECIDE_INTERVAL_S
             self._tick()
             if loop.time() >= greet_at:
-                greet_at = loop.time() + GREET_S
-                self._greet_silent()
+                greet_at = loop.time() + HAVE_MAP_REQUEST_INTERVAL_S
+                self._request_missing_have_maps()
 
     @property
     def _is_busy(self) -> bool:
         return any(not each.spread.is_complete for each in self._downloads.values())
 
     def _tick(self) -> None:
-        if self._views.is_outdated():
-            self._derive_views()
+        if self._topologies.is_outdated():
+            self._derive_topologies()
         self._mesh.dial()
         for download in list(self._downloads.values()):
             download.advance()
 
-    def _greet_silent(self) -> None:
+    def _request_missing_have_maps(self) -> None:
         for digest, download in self._downloads.items():
-            download.greet_silent(self._views.topologies[digest].neighbours)
+            download.request_missing_have_maps(self._topologies.topologies[digest].neighbours)
--- a/src/lacewinggw/lab/crowd.py
+++ b/src/lacewinggw/lab/crowd.py
@@ -63,7 +63,7 @@
         if not self.watched:
             self.watched = True
             await self._sender.start()
-        self._sender.take(exchange.link, exchange.message)
+        self._sender.handle_watch(exchange.link, exchange.message)
 
 
 class Crowd:
--- a/src/lacewinggw/lab/spreadfleet.py
+++ b/src/lacewinggw/lab/spreadfleet.py
@@ -4,7 +4,7 @@
 import random
 from dataclasses import dataclass
 
-from lacewinggw.agent.views import DueRelease
+from lacewinggw.agent.topologies import DueRelease
 from lacewinggw.clients.membership import Member
 from lacewinggw.generated.messages.ttypes import Manifest, Prefer
 from lacewinggw.ids import Digest, HostId
@@ -133,5 +133,7 @@
 
     async def wait_complete(self, manifest: Manifest) -> None:
         """Wait until every host holds the whole release."""
-        waits = [host.spreader.complete(Digest(manifest.digest)) for host in self.hosts.values()]
+        waits = [
+            host.spreader.wait_complete(Digest(manifest.digest)) for host in self.hosts.values()
+        ]
         await asyncio.gather(*waits)
--- a/src/lacewinggw/lab/spreadhost.py
+++ b/src/lacewinggw/lab/spreadhost.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Mapping, Sequence
 
-from lacewinggw.agent.views import DueRelease
+from lacewinggw.agent.topologies import DueRelease
 from lacewinggw.agent.weights import Spreader
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.clients.weights import WeightsClient
--- a/src/lacewinggw/lab/variant.py
+++ b/src/lacewinggw/lab/variant.py
@@ -22,13 +22,13 @@
 
 def corrupt_uploads(uploader: Uploader) -> None:
     """Have every chunk sent with a byte inverted; what the host itself loads stays as it is."""
-    find = uploader.find
+    find = uploader.find_chunk
 
     def find_corrupt(digest: Digest, index: int) -> bytes | None:
         data = find(digest, index)
         return None if data is None else flip_byte(data, len(data) // 2)
 
-    uploader.find = find_corrupt
+    uploader.find_chunk = find_corrupt
 
 
 def make_agent(settings: Settings, baseline: str | None, corrupt: bool) -> AgentProcess:
--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -21,7 +21,7 @@
 from lacewinggw.wire.soundness import require_sound
 
 MS_PER_S = 1000.0
-FRESH_S = (
+UPDATE_TIMEOUT_S = (
     4.0  # updates of entries come every 1.5 s; after more than two that did not, the store is read
 )
 
@@ -43,18 +43,18 @@
         self._address = address
         self._clock = clock
         self._knowledge = RoutingView(rules)
-        self._told_version = 0
+        self._routes_version = 0
         self._position = NO_POSITION
-        self._heard_at = float("-inf")
+        self._updated_at = float("-inf")
         self._hosts: Mapping[HostId, Place] | None = None  # None: to be worked out anew
 
     @property
-    def is_told(self) -> bool:
+    def has_recent_update(self) -> bool:
         """Whether an entry spoke lately, so that the store need not be read."""
-        return self._clock() - self._heard_at < FRESH_S
+        return self._clock() - self._updated_at < UPDATE_TIMEOUT_S
 
     @property
-    def due(self) -> Sequence[RequiredVersion]:
+    def due_versions(self) -> Sequence[RequiredVersion]:
         """The versions that were named, the oldest first."""
         return self._knowledge.required_versions(self.model) if self.model else ()
 
@@ -81,26 +81,26 @@
         """Return whether a target takes no new work."""
         return target in self._knowledge.leaving
 
-    def apply(self, rules: RoutingViewRules) -> None:
+    def apply_rules(self, rules: RoutingViewRules) -> None:
         """Take in changed bounds."""
         self._knowledge.rules = rules
 
-    def note_regained(self, now: float) -> None:
+    def note_store_regained(self, now: float) -> None:
         """Note that the store answers again."""
         self._knowledge.record_outage_end(now)
 
     # ---- from the store -------------------------------------------------------------------
 
-    def take_configuration(self, update: FeedUpdate, _: AnswerTimes) -> None:
+    def apply_configuration(self, update: FeedUpdate, _: AnswerTimes) -> None:
         """Take what the store says of routes and versions."""
         for change in update.changes:
             match change:
                 case Put(RouteTable() as table):
-                    self._take_table(table)
+                    self._apply_routes(table)
                 case Put(DueVersion() as due):
-                    self._take_due(due, self._clock(), update.whole)
+                    self._add_due_version(due, self._clock(), update.whole)
 
-    def take_targets(self, update: FeedUpdate, _: AnswerTimes) -> None:
+    def apply_targets(self, update: FeedUpdate, _: AnswerTimes) -> None:
         """Take what the store says of targets."""
         self._hosts = None
         now = self._clock()
@@ -108,7 +108,7 @@
         self._position = max(self._position, update.position)
         take_listing(self._knowledge, update, now)
 
-    def _take_table(self, table: RouteTable) -> None:
+    def _apply_routes(self, table: RouteTable) -> None:
         if not self._knowledge.update_routes(table):
             return
         service = table.services.get(self._name)
@@ -120,7 +120,7 @@
             if each.origin is not None:
                 self.origin, self.origin_bytes_per_s = each.origin, each.origin_bytes_per_s
 
-    def _take_due(self, due: DueVersion, now: float, old: bool) -> None:
+    def _add_due_version(self, due: DueVersion, now: float, old: bool) -> None:
         if self._knowledge.require_version(due, now, old):
             log.info("version_due", model=due.model, version=due.version, old=old)
 
@@ -134,21 +134,21 @@
         now = self._clock()
         self._hosts = None
         self._knowledge.expire(now)
-        self._heard_at = now
-        if update.routes_version >= self._told_version:
-            self._told_version = update.routes_version
-            self._take_figures(update)
+        self._updated_at = now
+        if update.routes_version >= self._routes_version:
+            self._routes_version = update.routes_version
+            self._apply_figures(update)
         model = ModelName(update.model)
         for named in update.named:
             learned_at = now - named.age_ms / MS_PER_S
-            self._take_due(DueVersion(model, named.version), learned_at, old=False)
+            self._add_due_version(DueVersion(model, named.version), learned_at, old=False)
         position = StorePosition(update.store_era, update.targets_position)
         if position >= self._position:
             self._position = position
-            listed = [self._listed(each) for each in update.targets]
+            listed = [self._target_entry(each) for each in update.targets]
             self._knowledge.replace_targets(listed, now)
 
-    def _take_figures(self, update: messages.FleetUpdate) -> None:
+    def _apply_figures(self, update: messages.FleetUpdate) -> None:
         self.model = ModelName(update.model)
         self.figures = WeightsProfile(
             update.layers, update.chunks, update.chunk_bytes, update.warmup_ms / MS_PER_S
@@ -157,7 +157,7 @@
         self.origin = Address(update.origin) if update.origin else None
         self.origin_bytes_per_s = float(update.origin_bytes_per_s)
 
-    def _listed(self, told: messages.ServiceTarget) -> TargetEntry:
+    def _target_entry(self, told: messages.ServiceTarget) -> TargetEntry:
         return TargetEntry(
             TargetName(told.name),
             self._name,
--- a/src/lacewinggw/loader/process.py
+++ b/src/lacewinggw/loader/process.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from lacewinggw.agent.downloads import WeightSource
-from lacewinggw.agent.manifests import check_named
-from lacewinggw.agent.views import DueRelease
+from lacewinggw.agent.manifests import check_named_manifest
+from lacewinggw.agent.topologies import DueRelease
 from lacewinggw.agent.weights import Spreader
 from lacewinggw.background import Background
 from lacewinggw.clients.membership import Member, MemberRole
@@ -44,10 +44,10 @@
     new_incarnation,
 )
 from lacewinggw.loader.assignment import Assignment
-from lacewinggw.loader.keeper import StagedChunks, TargetLoader
 from lacewinggw.loader.releases import release_of
-from lacewinggw.loader.slots import SlotDesk
-from lacewinggw.loader.target import LoadableReport, LoadableTarget, Switch
+from lacewinggw.loader.slots import AgentSlotService
+from lacewinggw.loader.target import LoadableReport, LoadableTarget, SwitchMode
+from lacewinggw.loader.targetloader import StagedChunks, TargetLoader
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.frames import Message
@@ -57,15 +57,15 @@
 from lacewinggw.wire.peers import Exchange, Identity, PeerLink, PeerNode
 
 MS_PER_S = 1000.0
-COPY_FACTOR = 1.3  # a copy takes that much longer than over a link of its own
-REPORT_S = 0.1  # the target is asked for its state so often: free from its own host
-UNCHANGED_S = 0.6  # between updates that say the same again
+COPY_TIME_FACTOR = 1.3  # a copy takes that much longer than over a link of its own
+REPORT_INTERVAL_S = 0.1  # the target is asked for its state so often: free from its own host
+UNCHANGED_INTERVAL_S = 0.6  # between updates that say the same again
 # Between updates of the target's work: a border between regions is narrow and priced. They tell
 # whom to ask for a slot first, so much later they would send more requests to busy targets.
-UPDATE_S = 0.2
+UPDATE_INTERVAL_S = 0.2
 # Until an agent that starts reads the store, drawn between the two: entries send it all that it
 # needs in some hundred bytes, while the routes of agents that start together would fill a border.
-ENTRY_WAIT_S = (0.5, 1.0)
+ENTRY_WAIT_RANGE_S = (0.5, 1.0)
 STORE_WAIT = Wait(for_update_s=4.0, after_update_s=0.5)  # only while no entry speaks
 
 log = get_logger(__name__)
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True)
-class _Aims:
+class _SpreadInputs:
     """What the spread is to bring, from where, and among whom."""
 
     model: ModelName
@@ -93,7 +93,7 @@
     origin_bytes_per_s: float
 
 
-class _NamedOrigin:
+class _ConfiguredOrigin:
     """The origin that the routes name, which may change."""
 
     def __init__(self, make: MakeOrigin) -> None:
@@ -101,7 +101,7 @@
         self._address: Address | None = None
         self._origin: WeightSource | None = None
 
-    def point_to(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Ask this address from now on."""
         if address != self._address:
             self._address = address
@@ -109,13 +109,13 @@
 
     async def manifest_by_digest(self, digest: Digest) -> messages.Manifest:
         """Return the manifest of a release."""
-        return await self._known().manifest_by_digest(digest)
+        return await self._require_origin().manifest_by_digest(digest)
 
     async def fetch(self, manifest: messages.Manifest, index: int) -> bytes:
         """Return the bytes that the origin sends for a chunk, unchecked."""
-        return await self._known().fetch(manifest, index)
+        return await self._require_origin().fetch(manifest, index)
 
-    def _known(self) -> WeightSource:
+    def _require_origin(self) -> WeightSource:
         if self._origin is None:
             raise PlatformUnavailable("the routes name no origin of weights yet")
         return self._origin
@@ -151,10 +151,10 @@
         self._clock = clock
         self._host = HostId(process.host)
         self._target = adapter.target
-        self._origin = _NamedOrigin(adapter.make_origin)
+        self._origin = _ConfiguredOrigin(adapter.make_origin)
         identity = Identity(process.host, messages.Role.AGENT, process.place, self.incarnation)
         self._node = PeerNode(
-            network, identity, process.fleet_key, self._handle, on_notice=self._take_notice
+            network, identity, process.fleet_key, self._handle, on_notice=self._handle_notice
         )
         self._staged = StagedChunks(adapter.target)
         self.spreader = Spreader.from_config(
@@ -164,19 +164,19 @@
             None,  # there is no second source of weights
             self.metrics,
             rng,
-            check_named,
+            check_named_manifest,
             self._staged,
         )
         self._loader = TargetLoader(adapter.target, self.spreader, self.metrics)
-        self._slots = SlotDesk(self.metrics)
-        self._listeners: set[PeerLink] = set()
+        self._slots = AgentSlotService(self.metrics)
+        self._watchers: set[PeerLink] = set()
         self._report: LoadableReport | None = None
-        self._told_at = 0.0
+        self._updated_at = 0.0
         self._emptying_since: float | None = None
-        self._was_heard = False
-        self._store_read_from = clock() + rng.uniform(*ENTRY_WAIT_S)
-        self._told: messages.TargetUpdate | None = None
-        self._aims: _Aims | None = None
+        self._has_answered = False
+        self._store_read_from = clock() + rng.uniform(*ENTRY_WAIT_RANGE_S)
+        self._last_update: messages.TargetUpdate | None = None
+        self._spread_inputs: _SpreadInputs | None = None
         self._plan: tuple[UpgradeRules, frozenset[HostId], UpgradePlanner] | None = None
         pages = HealthPages(Health(self.metrics, self._readiness))
         self._server = HttpServer(network, agent.operator_listen, pages.handle)
@@ -185,13 +185,13 @@
         self._access = StoreAccess()
         self._era = StoreEra(self.metrics)
         self._era.subscribe(self._store_clock.reset)
-        self._era.subscribe(lambda: part.note_regained(clock()))
+        self._era.subscribe(lambda: part.note_store_regained(clock()))
         self._followers = [
-            self._follow(Topic.CONFIGURATION, adapter, part.take_configuration, rng),
-            self._follow(Topic.TARGETS, adapter, part.take_targets, rng),
+            self._follow(Topic.CONFIGURATION, adapter, part.apply_configuration, rng),
+            self._follow(Topic.TARGETS, adapter, part.apply_targets, rng),
         ]
-        self._reports = Background("target reports", self._watch_target)
-        self._loads = Background("loading", self._keep_loaded)
+        self._report_loop = Background("target reports", self._poll_target)
+        self._load_loop = Background("loading", self._reconcile)
 
     @classmethod
     def from_config(cls, settings: Settings, adapter: LoaderAdapter) -> "LoaderProcess":
@@ -213,7 +213,7 @@
             self._era,
             self._access,
             is_needed=self._needs_store,
-            on_regained=self.assignment.note_regained,
+            on_regained=self.assignment.note_store_regained,
         )
 
     # ---- life -----------------------------------------------------------------------------
@@ -225,16 +225,16 @@
         await self._node.start(self._settings.agent.peer_listen)
         await self._server.start()
         await self.spreader.start()
-        self._reports.start()
-        self._loads.start()
+        self._report_loop.start()
+        self._load_loop.start()
 
     async def drain(self) -> None:
         """Leave at once: nothing runs here that a caller waits for."""
 
     async def close(self) -> None:
         """Stop."""
-        await self._loads.close()
-        await self._reports.close()
+        await self._load_loop.close()
+        await self._report_loop.close()
         self._slots.close()
         for follower in self._followers:
             await follower.close()
@@ -245,7 +245,7 @@
     def apply(self, settings: Settings) -> None:
         """Take in changed settings: the bounds of the fleet; the rest at the next start."""
         self._settings.fleet = settings.fleet
-        self.assignment.apply(knowledge_rules(settings))
+        self.assignment.apply_rules(knowledge_rules(settings))
 
     def _readiness(self) -> Readiness:
         ready = self._report is not None
@@ -253,7 +253,7 @@
 
     def _needs_store(self) -> bool:
         """Return whether the store is to be read, as no entry speaks."""
-        return not self.assignment.is_told and self._clock() >= self._store_read_from
+        return not self.assignment.has_recent_update and self._clock() >= self._store_read_from
 
     # ---- what is due ----------------------------------------------------------------------
 
@@ -262,63 +262,63 @@
         """The time that is allowed, and that a copy takes by this host's link."""
         figures = self.assignment.figures
         size = figures.chunks * figures.chunk_bytes if figures else 0
-        copy_s = COPY_FACTOR * size / self._settings.agent.link_bytes_per_s
+        copy_s = COPY_TIME_FACTOR * size / self._settings.agent.link_bytes_per_s
         return UpgradeRules(self._settings.fleet.version_ms / MS_PER_S, copy_s)
 
     def _upgrade(self, model: ModelName) -> UpgradeStep:
         """Return what is to be done for the target; one that does not answer counts as empty."""
-        current = self._current(model)
-        due = self.assignment.due
+        current = self._current_version(model)
+        due = self.assignment.due_versions
         versions = {FIRST_VERSION, *(each.version for each in due)}
-        shares = {each: self.spreader.share_held(release_of(model, each)) for each in versions}
-        return self._make_plan().decide(current, due, VersionProgress(shares), self._clock())
+        shares = {each: self.spreader.held_fraction(release_of(model, each)) for each in versions}
+        return self._upgrade_plan().decide(current, due, VersionProgress(shares), self._clock())
 
-    def _make_plan(self) -> UpgradePlanner:
+    def _upgrade_plan(self) -> UpgradePlanner:
         """Return the plan among the hosts that there are: ranking 150 of them takes 0.2 ms."""
         rules, hosts = self._rules, frozenset((*self.assignment.hosts, self._host))
         if self._plan is None or self._plan[:2] != (rules, hosts):
             self._plan = rules, hosts, UpgradePlanner(rules, self._host, hosts)
         return self._plan[2]
 
-    def _current(self, model: ModelName) -> int | None:
+    def _current_version(self, model: ModelName) -> int | None:
         return self._report.weights.get(model) if self._report else None
 
-    def _set_due(self) -> None:
+    def _update_spread(self) -> None:
         """Have the spread bring what is to be fetched, and keep what others may still want."""
         part = self.assignment
         if part.model is None:
             return
-        aims = _Aims(
+        inputs = _SpreadInputs(
             part.model,
-            tuple(self._versions(part.model)),
+            tuple(self._versions_to_hold(part.model)),
             part.hosts,
             part.origin,
             part.origin_bytes_per_s,
         )
         # Ten times a second nothing has changed, and with many hosts it costs to say so again.
-        if aims != self._aims:
-            self._aims = aims
-            self._apply_aims(aims)
-
-    def _apply_aims(self, aims: "_Aims") -> None:
-        if aims.origin is not None:
-            self._origin.point_to(aims.origin)
-            self.spreader.set_origin_rate(aims.origin_bytes_per_s)
-        self.spreader.set_members(self._neighbours(aims.hosts))
-        hosts = tuple(sorted({*aims.hosts, self._host}))
+        if inputs != self._spread_inputs:
+            self._spread_inputs = inputs
+            self._apply_spread_inputs(inputs)
+
+    def _apply_spread_inputs(self, inputs: "_SpreadInputs") -> None:
+        if inputs.origin is not None:
+            self._origin.set_address(inputs.origin)
+            self.spreader.set_origin_rate(inputs.origin_bytes_per_s)
+        self.spreader.set_members(self._neighbours(inputs.hosts))
+        hosts = tuple(sorted({*inputs.hosts, self._host}))
         prefer = messages.Prefer.ORIGIN_BYTES
-        releases = [release_of(aims.model, version) for version in aims.versions]
+        releases = [release_of(inputs.model, version) for version in inputs.versions]
         due = {each: DueRelease(each, each, hosts, prefer) for each in releases}
         self.spreader.set_due(due)
 
-    def _versions(self, model: ModelName) -> Sequence[int]:
+    def _versions_to_hold(self, model: ModelName) -> Sequence[int]:
         """Return the versions to fetch, or the one that the target serves, for others to fetch.
 
         At the first start of a whole fleet targets come with weights: theirs is awaited.
         """
-        if self._settings.fleet.first_start and not self._was_heard:
+        if self._settings.fleet.first_start and not self._has_answered:
             return ()
-        current = self._current(model)
+        current = self._current_version(model)
         kept = () if current is None else (current,)
         return self._upgrade(model).fetch or kept
 
@@ -331,41 +331,43 @@
 
     # ---- the target -----------------------------------------------------------------------
 
-    async def _watch_target(self) -> None:
+    async def _poll_target(self) -> None:
         while True:
             try:
                 self._report = await self._target.report()
                 self._loader.note_report(self._report)
-                self._was_heard = True
-                self._leave_room(self._report)
+                self._has_answered = True
+                self._reserve_answer_bandwidth(self._report)
             except TargetUnreachable as error:
                 if self._report is not None:
                     log.warning("target_lost", error=error)
                 self._report = None
-            self._look_after_slots()
+            self._update_slots()
             self._notify_entries()
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
-    def _leave_room(self, report: LoadableReport) -> None:
+    def _reserve_answer_bandwidth(self, report: LoadableReport) -> None:
         """Have weights leave answers their part of the link while the target makes any."""
         if report.running:
             link_bytes_per_s = self._settings.agent.link_bytes_per_s
             share = live_traffic_share(report.running)
-            self.spreader.live.note_bytes(round(share * link_bytes_per_s * REPORT_S))
+            self.spreader.live_traffic.note_bytes(
+                round(share * link_bytes_per_s * REPORT_INTERVAL_S)
+            )
 
-    async def _keep_loaded(self) -> None:
+    async def _reconcile(self) -> None:
         while True:
-            await asyncio.sleep(REPORT_S)
-            self._set_due()
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            self._update_spread()
             model, report = self.assignment.model, self._report
             if model is None or report is None or report.busy or self._loader.is_loading:
                 continue
             if report.leaving:
                 continue  # weights would serve nobody
             try:
-                if self._staged.is_unread:
+                if self._staged.read_failed:
                     # The target was not up yet. A copy that lies there need not come over links.
-                    await self.spreader.take_local()
+                    await self.spreader.add_local_chunks()
                 await self._advance(model, report)
             except TargetUnreachable as error:
                 log.info("load_step_failed", error=error)
@@ -378,9 +380,11 @@
                 await self._loader.stage(model, upgrade.fetch[0])
             return
         switch = (
-            Switch.CUT if upgrade.may_interrupt and self.assignment.resumable else Switch.FINISH
+            SwitchMode.CUT
+            if upgrade.may_interrupt and self.assignment.resumable
+            else SwitchMode.FINISH
         )
-        if switch is Switch.FINISH and not self._is_emptied(report, upgrade.load_deadline):
+        if switch is SwitchMode.FINISH and not self._is_emptied(report, upgrade.load_deadline):
             return
         await self._loader.load(model, upgrade.load, switch, report)
         self._emptying_since = None
@@ -395,16 +399,16 @@
         waited_s = now - self._emptying_since
         return not report.running or waited_s >= DRAIN_S or now >= order_by
 
-    def _look_after_slots(self) -> None:
+    def _update_slots(self) -> None:
         report = self._report
         if report is None:
-            self._slots.note_target(None, begins=False)
+            self._slots.update_target(None, accepts_work=False)
         else:
-            begins = bool(report.weights) and not (self._begins_nothing or report.leaving)
-            self._slots.note_target(report.running + report.queued, begins)
+            begins = bool(report.weights) and not (self._is_changing_weights or report.leaving)
+            self._slots.update_target(report.running + report.queued, begins)
 
     @property
-    def _begins_nothing(self) -> bool:
+    def _is_changing_weights(self) -> bool:
         """Whether the target loads, or is emptied to load."""
         return self._loader.is_loading or self._emptying_since is not None
 
@@ -417,49 +421,49 @@
             case _:
                 await self.spreader.handle(exchange)
 
-    def _take_notice(self, link: PeerLink, message: Message) -> bool:
+    def _handle_notice(self, link: PeerLink, message: Message) -> bool:
         match message:
             case messages.Watch() as watch:
                 if watch.stop:
-                    self._listeners.discard(link)
+                    self._watchers.discard(link)
                 else:
-                    self._listeners.add(link)
-                    self._told = None
+                    self._watchers.add(link)
+                    self._last_update = None
             case messages.FleetUpdate() as update:
-                was_told = self.assignment.is_told
+                was_told = self.assignment.has_recent_update
                 self._era.note(update.store_era)
                 self.assignment.apply_update(update)
-                if self.assignment.is_told and not was_told:
-                    self._leave_store()
+                if self.assignment.has_recent_update and not was_told:
+                    self._interrupt_store_reads()
             case _:
                 return False  # chunks and have-maps, which may wait for room
         return True
 
-    def _leave_store(self) -> None:
+    def _interrupt_store_reads(self) -> None:
         """Give up reads that an entry made needless: routes may take a second over this link."""
         for follower in self._followers:
             follower.interrupt()
 
     def _notify_entries(self) -> None:
         """Send updates of the target's work to the entries that listen, when it has changed."""
-        if self._begins_nothing:
-            self._look_after_slots()
+        if self._is_changing_weights:
+            self._update_slots()
         now = self._clock()
-        update = self._compose()
+        update = self._make_update()
         if update is None:
             return
-        told = self._told
+        told = self._last_update
         urgent = told is None or (update.loading, update.leaving) != (told.loading, told.leaving)
-        pause_s = UNCHANGED_S if update == self._told else UPDATE_S
-        if not urgent and now - self._told_at < pause_s:
+        pause_s = UNCHANGED_INTERVAL_S if update == self._last_update else UPDATE_INTERVAL_S
+        if not urgent and now - self._updated_at < pause_s:
             return
-        self._told, self._told_at = update, now
-        self._listeners = {link for link in self._listeners if not link.closed.is_set()}
+        self._last_update, self._updated_at = update, now
+        self._watchers = {link for link in self._watchers if not link.closed.is_set()}
         stamped = copy(update)
         stamped.sent_ms = round(now * MS_PER_S)
-        self._node.notify_all(self._listeners, stamped)
+        self._node.notify_all(self._watchers, stamped)
 
-    def _compose(self) -> messages.TargetUpdate | None:
+    def _make_update(self) -> messages.TargetUpdate | None:
         report, target = self._report, self.assignment.own_target
         if report is None or target is None:
             return None
@@ -468,19 +472,19 @@
             running=max(report.running + report.queued, self._slots.taken),
             queued=self._slots.waiting,
             leaving=report.leaving or self.assignment.is_leaving(target.target),
-            held=[_held(model, version) for model, version in report.weights.items()],
-            loading=self._begins_nothing,
+            held=[_held_weights(model, version) for model, version in report.weights.items()],
+            loading=self._is_changing_weights,
             sent_ms=0,
-            born_ms=_told_birth(target, report),
+            born_ms=_birth_ms(target, report),
         )
 
 
-def _told_birth(target: TargetEntry, report: LoadableReport) -> int:
+def _birth_ms(target: TargetEntry, report: LoadableReport) -> int:
     """Return when the target was born as it says itself, if entries know births from the list."""
     return (report.born_ms or target.born_ms) if target.born_ms else 0
 
 
-def _held(model: ModelName, version: int) -> messages.HeldWeights:
+def _held_weights(model: ModelName, version: int) -> messages.HeldWeights:
     return messages.HeldWeights(model, version)
 
 
--- a/src/lacewinggw/loader/slots.py
+++ b/src/lacewinggw/loader/slots.py
@@ -15,12 +15,12 @@
 
 MS_PER_S = 1000.0
 US_PER_S = 1e6
-LOOK_LATER_S = 0.001  # timers are no finer
+TIMER_MARGIN_S = 0.001  # timers are no finer
 
 log = get_logger(__name__)
 
 
-class SlotDesk:
+class AgentSlotService:
     """Gives out the slots of one target.
 
     desk = SlotDesk(metrics)
@@ -32,7 +32,7 @@
         self._ledger = SlotAllocator()
         self._exchanges: dict[LeaseId, Exchange] = {}
         self._numbers = itertools.count()
-        self._look: asyncio.TimerHandle | None = None
+        self._recheck_timer: asyncio.TimerHandle | None = None
         self._counts = {
             state: metrics.counter("slots_asked", outcome=state.name.lower()) for state in SlotState
         }
@@ -51,20 +51,20 @@
 
     def close(self) -> None:
         """Stop looking after the line."""
-        self._cancel_look()
+        self._cancel_recheck()
 
-    def note_target(self, running: int | None, begins: bool) -> None:
+    def update_target(self, running: int | None, accepts_work: bool) -> None:
         """Take what the target has running and queued, None where it does not answer.
 
         One that `begins` nothing, as it loads, gets nothing, and who waits for it is told.
         """
         if running is not None:
             self._ledger.note_report(running, _now())
-        if begins and running is not None:
+        if accepts_work and running is not None:
             if not self._ledger.is_open:
                 log.info("slots_opened", running=running)
             self._ledger.open()
-            self._give()
+            self._grant()
         elif self._ledger.is_open:
             log.info("slots_closed", taken=self.taken, waiting=self.waiting)
             self._notify(self._ledger.close(), SlotState.DECLINED)
@@ -79,29 +79,29 @@
         lease = LeaseId(next(self._numbers))
         self._exchanges[lease] = exchange
         self._ledger.slots = ask.slots
-        self._ledger.enqueue(lease, _wish_of(ask), _now())
+        self._ledger.enqueue(lease, _slot_request(ask), _now())
         try:
-            if not self._give(lease):
+            if not self._grant(lease):
                 self._notify([lease], SlotState.QUEUED)
             await exchange.follow_up()
         finally:
             del self._exchanges[lease]
             self._ledger.release(lease)
-            self._give()
+            self._grant()
         exchange.end_quietly()
 
-    def _give(self, asked: LeaseId | None = None) -> bool:
+    def _grant(self, asked: LeaseId | None = None) -> bool:
         """Give what is free to those in line; return whether `asked` is settled by it."""
         now = _now()
         given = self._ledger.grant(now)
         self._notify(given, SlotState.GRANTED)
         overtaken = self._ledger.drop_overtaken(now)
         self._notify(overtaken, SlotState.OVERTAKEN)
-        self._cancel_look()
+        self._cancel_recheck()
         look_at = self._ledger.next_check_at(now)
         if look_at is not None and look_at > now:
             loop = asyncio.get_running_loop()
-            self._look = loop.call_at(look_at + LOOK_LATER_S, self._give)
+            self._recheck_timer = loop.call_at(look_at + TIMER_MARGIN_S, self._grant)
         return asked in given or asked in overtaken
 
     def _notify(self, leases: Iterable[LeaseId], state: SlotState) -> None:
@@ -109,13 +109,13 @@
             self._counts[state].add()
             self._exchanges[lease].reply(messages.SlotUpdate(state))
 
-    def _cancel_look(self) -> None:
-        if self._look is not None:
-            self._look.cancel()
-            self._look = None
+    def _cancel_recheck(self) -> None:
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
+            self._recheck_timer = None
 
 
-def _wish_of(ask: messages.AskSlot) -> SlotRequest:
+def _slot_request(ask: messages.AskSlot) -> SlotRequest:
     suspect = RequestDigest(ask.suspect) if ask.suspect else None
     return SlotRequest(
         rank=ask.rank,
--- a/src/lacewinggw/loader/target.py
+++ b/src/lacewinggw/loader/target.py
@@ -27,7 +27,7 @@
     leaving: bool = False
 
 
-class Switch(Enum):
+class SwitchMode(Enum):
     """What becomes of running requests when a target takes other weights."""
 
     FINISH = "finish"  # they end first, and nothing new begins meanwhile
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class LoadOrder:
+class StagedLoadOrder:
     """Take what is staged as a version of a model.
 
     The target refuses it unless it has taken exactly `orders` orders, and when it has seen a higher
@@ -44,7 +44,7 @@
 
     model: ModelName
     version: int
-    switch: Switch
+    switch: SwitchMode
     fence: int
     orders: int
 
@@ -75,5 +75,5 @@
     async def stage_piece(self, model: ModelName, index: int, data: bytes) -> None:
         """Stage a piece in place of what was there."""
 
-    async def order(self, order: LoadOrder) -> OrderOutcome:
+    async def order(self, order: StagedLoadOrder) -> OrderOutcome:
         """Give an order."""
--- a/src/lacewinggw/loader/keeper.py
+++ b/src/lacewinggw/loader/targetloader.py
@@ -13,7 +13,13 @@
 from lacewinggw.generated.messages.ttypes import Manifest
 from lacewinggw.ids import Digest, ModelName
 from lacewinggw.loader.releases import release_of, split_release
-from lacewinggw.loader.target import LoadableReport, LoadableTarget, LoadOrder, OrderOutcome, Switch
+from lacewinggw.loader.target import (
+    LoadableReport,
+    LoadableTarget,
+    OrderOutcome,
+    StagedLoadOrder,
+    SwitchMode,
+)
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics, RetryReason
 
@@ -25,25 +31,25 @@
 
     def __init__(self, target: LoadableTarget) -> None:
         self._target = target
-        self._is_unread = False
+        self._read_failed = False
 
     @property
-    def is_unread(self) -> bool:
+    def read_failed(self) -> bool:
         """Whether the target did not answer when its pieces were to be read."""
-        return self._is_unread
+        return self._read_failed
 
     async def read(self, digest: Digest) -> Mapping[int, bytes]:
         """Return every staged piece of the release's model; they may be of another version."""
         model, _ = split_release(digest)
         found: dict[int, bytes] = {}
-        self._is_unread = False
+        self._read_failed = False
         try:
             for index in sorted(await self._target.staged(model)):
                 data = await self._target.read_piece(model, index)
                 if data is not None:
                     found[index] = data
         except TargetUnreachable as error:
-            self._is_unread = True
+            self._read_failed = True
             log.info("staged_pieces_unread", error=error)
         return found
 
@@ -56,9 +62,9 @@
         self._spreader = spreader
         self._metrics = metrics
         self._orders = metrics.counter("load_orders")
-        self._replaced = metrics.counter("staged_pieces_replaced")
+        self._replaced_pieces = metrics.counter("staged_pieces_replaced")
         self._staged: set[int] = set()  # pieces of `_staged_for` that this process staged or read
-        self._staged_for: Digest | None = None
+        self._staged_release: Digest | None = None
         self._loading = False
 
     @property
@@ -74,14 +80,14 @@
     async def stage(self, model: ModelName, version: int) -> None:
         """Stage the verified pieces of a version that are not staged yet."""
         release = release_of(model, version)
-        if self._staged_for != release:
-            self._staged_for = release
+        if self._staged_release != release:
+            self._staged_release = release
             self._staged = set()
         for index in sorted(self._spreader.held(release) - self._staged):
             await self._stage_piece(model, release, index)
 
     async def load(
-        self, model: ModelName, version: int, switch: Switch, report: LoadableReport
+        self, model: ModelName, version: int, switch: SwitchMode, report: LoadableReport
     ) -> None:
         """Check every piece where it lies, then give the order; raise `TargetUnreachable`."""
         release = release_of(model, version)
@@ -90,7 +96,7 @@
             return
         await self.stage(model, version)
         await self._check_staged(model, release, manifest)
-        order = LoadOrder(model, version, switch, version, report.orders)
+        order = StagedLoadOrder(model, version, switch, version, report.orders)
         self._loading = True
         self._orders.add()
         outcome = await self._target.order(order)
@@ -109,7 +115,7 @@
         for index, wanted in enumerate(manifest.chunk_hashes):
             data = await self._target.read_piece(model, index)
             if data is None or hashlib.sha256(data).digest() != wanted:
-                self._replaced.add()
+                self._replaced_pieces.add()
                 log.warning("staged_piece_replaced", release=release, index=index)
                 await self._stage_piece(model, release, index)
 
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator, Callable, Sequence
 from contextlib import asynccontextmanager
 
-from lacewinggw.agent.follower import Follower
+from lacewinggw.agent.follower import ConfigurationFollower
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.clients.objects import ObjectClient
 from lacewinggw.clients.table import TableClient
@@ -95,10 +95,10 @@
         assert isinstance(self.config, Ledger)
         return self.config
 
-    def _make_config(self) -> Ledger | Follower:
+    def _make_config(self) -> Ledger | ConfigurationFollower:
         fleet = self.fleet
         if self.role is not Role.ENTRY:
-            return Follower.from_config(
+            return ConfigurationFollower.from_config(
                 fleet.settings, self.peer, fleet.entry_candidates, self.metrics, self.rng
             )
         return Ledger.from_config(
--- a/tests/fleet/spread_links.py
+++ b/tests/fleet/spread_links.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from lacewinggw.agent.uploads import SMALLEST_SLICE_BYTES, UPLOADS_AT_ONCE
+from lacewinggw.agent.uploads import CONCURRENT_UPLOADS, MIN_SLICE_BYTES
 from lacewinggw.decisions.chunkscheduler import (
     DECIDE_INTERVAL_S,
     CancelRequest,
@@ -28,7 +28,7 @@
 CHUNKS = 64
 LINK_BYTES_PER_S = 475_000  # 3.8 Mbit/s
 WEIGHTS_SHARE = 0.86  # of an uplink: the rest is left to live answers
-SLICES = CHUNK_BYTES // SMALLEST_SLICE_BYTES
+SLICES = CHUNK_BYTES // MIN_SLICE_BYTES
 ORIGIN_BYTES_PER_S = 1_237_500  # 9.9 Mbit/s
 LATENCY_S = 0.002
 PLAN = TopologyRules(local=8, remote=2, columns=8, ranks=3, per_place=False)
@@ -93,7 +93,7 @@
         seed: int = 1,
         plan: TopologyRules = PLAN,
         rules: SpreadRules = RULES,
-        uploads_at_once: int = UPLOADS_AT_ONCE,
+        uploads_at_once: int = CONCURRENT_UPLOADS,
         origin_away: tuple[float, float] = (0.0, 0.0),
     ) -> None:
         self.now = 0.0
@@ -176,13 +176,13 @@
     def _send_origin_slice(self) -> None:
         """Send the next slice: the connections to the origin share its link."""
         send = self._from_origin[0]
-        self._at(SMALLEST_SLICE_BYTES / self._origin_bytes_per_s, lambda: self._end_origin(send))
+        self._at(MIN_SLICE_BYTES / self._origin_bytes_per_s, lambda: self._end_origin(send))
 
     def _end_origin(self, send: "OriginSend") -> None:
         self._from_origin.popleft()
         send.slices += 1
         is_last = send.slices == SLICES
-        self._receive(send.host, ORIGIN, send.index, SMALLEST_SLICE_BYTES, is_last)
+        self._receive(send.host, ORIGIN, send.index, MIN_SLICE_BYTES, is_last)
         if not is_last:
             self._from_origin.append(send)
         if self._from_origin:
@@ -210,7 +210,7 @@
             return
         sender.sending = True
         upload = sender.turns.popleft()
-        took_s = SMALLEST_SLICE_BYTES / (WEIGHTS_SHARE * sender.rate(self.now))
+        took_s = MIN_SLICE_BYTES / (WEIGHTS_SHARE * sender.rate(self.now))
         self._at(took_s, lambda: self._end_slice(sender, upload))
 
     def _end_slice(self, sender: Host, upload: Upload) -> None:
@@ -220,7 +220,7 @@
         receiver, source = self.hosts[request.host], Neighbour(sender.due.host)
         self._at(
             LATENCY_S,
-            lambda: self._receive(receiver, source, request.index, SMALLEST_SLICE_BYTES, is_last),
+            lambda: self._receive(receiver, source, request.index, MIN_SLICE_BYTES, is_last),
         )
         if not is_last:
             sender.turns.append(upload)
--- a/tests/fleet/test_agent_slots.py
+++ b/tests/fleet/test_agent_slots.py
@@ -108,7 +108,7 @@
     async with running_fleet(engines=2) as fleet:
         await start_agents(fleet, "engine0", "engine1")
         slots = fleet.agents["engine0"]._slots
-        slots.note_target(running=0, begins=False)
-        slots.note_target = lambda running, begins: None
+        slots.update_target(running=0, accepts_work=False)
+        slots.update_target = lambda running, accepts_work: None
         statuses, most = await ask_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200] and most["engine0"] == 0
--- a/tests/request_fleet.py
+++ b/tests/request_fleet.py
@@ -13,7 +13,7 @@
 from virtual import run_virtual
 
 from lacewinggw.agent.requests import RequestService
-from lacewinggw.agent.target import TargetGate, TargetKind
+from lacewinggw.agent.target import TargetKind, TargetStatus
 from lacewinggw.clients.engine import EngineClient
 from lacewinggw.clients.membership import Member, MemberRole
 from lacewinggw.clients.objects import ObjectClient
@@ -151,7 +151,7 @@
         service = MODEL if self.kind is TargetKind.ENGINE else PLAIN
         digest = self.engine.weights.active_digest if self.kind is TargetKind.ENGINE else ""
         self.metrics = Metrics()
-        self.gate = TargetGate(self.kind, self.target.address, service, "r", digest, serving=True)
+        self.gate = TargetStatus(self.kind, self.target.address, service, "r", digest, serving=True)
         identity = Identity(self.host, Role.AGENT, "a", self.incarnation)
         engine = EngineClient(self.network, self.target.address)
         plain = PlainClient(self.network, self.target.address)
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -1,6 +1,6 @@
 """A service moves to another release: hosts load it first and change over in their turn."""
 
-from lacewinggw.agent.process import due_releases, wanted_of
+from lacewinggw.agent.process import desired_state, due_releases
 from lacewinggw.decisions.placement import HostInfo, plan_placement
 from lacewinggw.decisions.revisions import FleetState, change_of
 from lacewinggw.generated.messages import ttypes as messages
@@ -90,10 +90,10 @@
 def test_a_drained_host_is_wanted_for_nothing_before_it_is_replaced():
     state = serving_market_6()
     host = min(state.hosts_of("citation-llm"))
-    assert wanted_of(state, host).release == "market-6"
+    assert desired_state(state, host).release == "market-6"
     accept(state, messages.SetDrain(host, True))
     assert state.hosts_of("citation-llm")[host] == "market-6"
-    assert wanted_of(state, host) is None
+    assert desired_state(state, host) is None
 
 
 def test_an_agent_is_wanted_for_both_releases_while_it_changes_over():
@@ -101,7 +101,7 @@
     declare(state, "market-7")
     settle(state)
     host = min(state.hosts_of("citation-llm"))
-    wanted = wanted_of(state, host)
+    wanted = desired_state(state, host)
     assert (wanted.digest, wanted.next_digest) == ("aa", "bb")
     due = due_releases(state, host)
     assert {digest: len(each.hosts) for digest, each in due.items()} == {"aa": 4, "bb": 4}
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -30,8 +30,8 @@
 async def test_each_watcher_hears_at_its_own_interval():
     sender = await start_sender()
     often, seldom = Link(), Link()
-    sender.take(often, Watch("entry-1"))
-    sender.take(seldom, Watch("entry-2", 10_000))
+    sender.handle_watch(often, Watch("entry-1"))
+    sender.handle_watch(seldom, Watch("entry-2", 10_000))
     await asyncio.sleep(60)
     await sender.close()
     assert 50 <= len(often.sent) <= 61
@@ -41,7 +41,7 @@
 async def test_a_change_is_told_to_all_at_once():
     sender = await start_sender()
     seldom = Link()
-    sender.take(seldom, Watch("entry-2", 10_000))
+    sender.handle_watch(seldom, Watch("entry-2", 10_000))
     await asyncio.sleep(0.5)
     for _ in range(20):
         sender.note_change()
@@ -54,8 +54,8 @@
     sender = await start_sender()
     stopped, gone = Link(), Link()
     for link in (stopped, gone):
-        sender.take(link, Watch("entry-1"))
-    sender.take(stopped, Watch("entry-1", stop=True))
+        sender.handle_watch(link, Watch("entry-1"))
+    sender.handle_watch(stopped, Watch("entry-1", stop=True))
     gone.closed.set()
     await asyncio.sleep(5)
     await sender.close()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 import pytest
 from config_fleet import Fleet, Node, release, running, service
 
-from lacewinggw.agent.follower import Follower
+from lacewinggw.agent.follower import ConfigurationFollower
 from lacewinggw.configuration.logstore import LogStore, Outdated, Truncated, encode_entry, row_key
 from lacewinggw.decisions.revisions import HISTORY_LENGTH, FleetState, change_of
 from lacewinggw.errors import (
@@ -281,14 +281,14 @@
 ):
     async with running(entries=3, agents=1) as fleet:
         agent = fleet.agents[0]
-        assert isinstance(agent.config, Follower)
+        assert isinstance(agent.config, ConfigurationFollower)
         await asyncio.sleep(2)
-        assert agent.config.current
+        assert agent.config.is_current
         for entry in fleet.entries:
             fleet.network.cut(agent.ip, entry.ip)
         await asyncio.sleep(6)
-        assert not agent.config.current
+        assert not agent.config.is_current
         for entry in fleet.entries:
             fleet.network.heal(agent.ip, entry.ip)
         await asyncio.sleep(15)
-        assert agent.config.current
+        assert agent.config.is_current
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -12,7 +12,7 @@
 from trials import Story, run_story
 
 from lacewinggw.agent.chunks import ChunkStore
-from lacewinggw.agent.keeper import TargetKeeper
+from lacewinggw.agent.reconciler import TargetReconciler
 from lacewinggw.clients import engine, membership
 from lacewinggw.clients.engine import ActivateOrder, AnswerEnd, EngineClient, PieceBatch
 from lacewinggw.clients.membership import MemberState, member_from_json
@@ -34,19 +34,21 @@
 
 def relay_and_serve_unverified_chunks(monkeypatch: pytest.MonkeyPatch) -> None:
     """Neither the chunks are checked nor what the engine says it has loaded."""
-    load = TargetKeeper._load
+    load = TargetReconciler._load
 
     async def put(self: ChunkStore, chunk_hash: bytes, data: bytes) -> bool:
         self._chunks[chunk_hash] = data
         return True
 
-    async def load_and_activate(self: TargetKeeper, wanted: DesiredState, digest: Digest) -> None:
+    async def load_and_activate(
+        self: TargetReconciler, wanted: DesiredState, digest: Digest
+    ) -> None:
         await load(self, wanted, digest)
         await self._order(ActivateOrder(digest))
         await asyncio.sleep(1.0)
 
     monkeypatch.setattr(ChunkStore, "put", put)
-    monkeypatch.setattr(TargetKeeper, "_load", load_and_activate)
+    monkeypatch.setattr(TargetReconciler, "_load", load_and_activate)
 
 
 def take_cut_answers_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_request_faults.py
+++ b/tests/test_request_faults.py
@@ -131,7 +131,7 @@
         agent = self.rng.choice(self.fleet.agents)
         self.recorder.record(ShutdownAsked(self.recorder.now(), agent.host))
         agent.requests.begin_drain()
-        assert await agent.requests.drained(60)
+        assert await agent.requests.wait_drained(60)
         await agent.replace()
 
     async def leave_entry(self) -> None:
--- a/tests/test_request_queue.py
+++ b/tests/test_request_queue.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lacewinggw.agent.queue import Refused, RequestQueue
+from lacewinggw.agent.queue import QueueRefusal, TargetQueue
 from lacewinggw.decisions.admission import URGENT_WINDOW_S, Slots
 from lacewinggw.errors import Refusal
 from lacewinggw.generated.messages.ttypes import Priority, RequestHead
@@ -21,9 +21,9 @@
 
     def __init__(self, capacity: int = 1, length: int = 64, urgent_share: float = 0.25) -> None:
         self.started: list[str] = []
-        self.dropped: dict[str, Refused] = {}
+        self.dropped: dict[str, QueueRefusal] = {}
         slots = Slots(capacity, urgent_share)
-        self.queue: RequestQueue[str] = RequestQueue(
+        self.queue: TargetQueue[str] = TargetQueue(
             slots, length, Metrics(), self.started.append, self.dropped.__setitem__
         )
 
@@ -34,7 +34,7 @@
         priority: Priority = NORMAL,
         left_s: float = 1000.0,
         weight: float = 1.0,
-    ) -> Refused | None:
+    ) -> QueueRefusal | None:
         now = asyncio.get_running_loop().time()
         head = RequestHead(account=account, priority=priority, weight=weight)
         return self.queue.push(head, name, now + left_s, now)
@@ -166,7 +166,7 @@
     bench = Bench()
     bench.push("running")
     bench.push("waiting")
-    assert bench.queue.leave("waiting")
+    assert bench.queue.remove("waiting")
     bench.push("waiting2")
     bench.queue.close()
     assert list(bench.dropped) == ["waiting2"]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -166,7 +166,7 @@
     await asyncio.sleep(0.05)
     agent.requests.begin_drain()
     assert (await entry.ask()).headers["outcome"] == "not-run"
-    assert await agent.requests.drained(10)
+    assert await agent.requests.wait_drained(10)
     assert [(await each).status for each in taken] == [200] * 4
 
 
@@ -275,7 +275,7 @@
     await anext(events)
     await asyncio.sleep(5)
     agent.requests.begin_drain()
-    drained = asyncio.create_task(agent.requests.drained(60))
+    drained = asyncio.create_task(agent.requests.wait_drained(60))
     await asyncio.sleep(1)
     assert not drained.done()
     assert "event: final" in [event async for event in events][-1]
@@ -322,7 +322,7 @@
 
     async def leave() -> None:
         agent.requests.begin_drain()
-        assert await agent.requests.drained(60)
+        assert await agent.requests.wait_drained(60)
         await agent.stop()
 
     await entry.ask()
@@ -338,7 +338,7 @@
     entry, agent = fleet.entries[0], fleet.agents[0]
     ticket = await entry.ticket()
     agent.requests.begin_drain()
-    drained = asyncio.create_task(agent.requests.drained(60))
+    drained = asyncio.create_task(agent.requests.wait_drained(60))
     await asyncio.sleep(10)
     assert not drained.done()
     assert (await entry.ask(ticket=ticket)).headers["outcome"] == "not-run"
--- a/tests/test_target_keeper.py
+++ b/tests/test_target_keeper.py
@@ -6,7 +6,7 @@
 import pytest
 from trials import run_story
 
-from lacewinggw.agent.target import TargetGate
+from lacewinggw.agent.target import TargetStatus
 from lacewinggw.lab.checkers import describe
 from lacewinggw.lab.engine import EngineStandIn
 from lacewinggw.lab.history import NotRun, WeightsActivated
@@ -76,9 +76,9 @@
             counters = host.process.metrics.snapshot().counters
             counted.append(counters.get("target_fences_unkept", 0))
 
-    build = TargetGate.__init__
+    build = TargetStatus.__init__
 
-    def build_fencing(self: TargetGate, *values: Any, **named: Any) -> None:
+    def build_fencing(self: TargetStatus, *values: Any, **named: Any) -> None:
         build(self, *values, **{**named, "fences": True})
 
     answer = EngineStandIn._describe
@@ -86,7 +86,7 @@
     def describe_fence(self: EngineStandIn) -> dict[str, Any]:
         return {**answer(self), **({} if kept else {"fence": 0})}
 
-    monkeypatch.setattr(TargetGate, "__init__", build_fencing)
+    monkeypatch.setattr(TargetStatus, "__init__", build_fencing)
     monkeypatch.setattr(EngineStandIn, "_describe", describe_fence)
     verdict = run_story(watch_counts)
     assert not verdict.violations, describe(verdict.violations)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewinggw.agent.links import LiveGauge, Pacer
+from lacewinggw.agent.links import LiveTrafficMeter, Pacer
 from lacewinggw.decisions.weightbandwidth import (
     WeightBandwidthLimiter,
     WeightBandwidthRules,
@@ -56,7 +56,7 @@
     """Live requests and weights on one link; the weights pass the agent's own pacer first."""
 
     def __init__(self, share: float, live_share: float, seed: int) -> None:
-        self.gauge = LiveGauge(LINK, share)
+        self.gauge = LiveTrafficMeter(LINK, share)
         self.link = Pacer(lambda: LINK)
         self.rng = random.Random(seed)
         self.live_per_s = live_share * LINK / LIVE_BYTES
