--- a/src/lacewinggw/fleet/access.py
+++ b/src/lacewinggw/fleet/access.py
@@ -7,7 +7,9 @@
 import asyncio
 from contextlib import suppress
 
-STALE_S = 1.5  # one that asks for all does so each 0.75 s, and a call takes up to 0.8 s to fail
+STUCK_AFTER_S = (
+    1.5  # one that asks for all does so each 0.75 s, and a call takes up to 0.8 s to fail
+)
 
 
 class StoreAccess:
@@ -19,27 +21,27 @@
     """
 
     def __init__(self) -> None:
-        self._asker: object | None = None
-        self._asked_at = 0.0
+        self._prober: object | None = None
+        self._probe_at = 0.0
         self._answered = asyncio.Event()
 
     def note_answer(self) -> None:
         """Note that the store answers."""
-        self._asker = None
+        self._prober = None
         answered, self._answered = self._answered, asyncio.Event()
         answered.set()
 
-    def release(self, asker: object) -> None:
+    def release(self, follower: object) -> None:
         """Let another one ask for all."""
-        if self._asker is asker:
+        if self._prober is follower:
             self.note_answer()
 
-    async def wait_to_ask(self, asker: object, pause_s: float) -> None:
+    async def wait_to_retry(self, follower: object, pause_s: float) -> None:
         """Wait for a pause, or for the answer to another one that asks for all."""
         loop = asyncio.get_running_loop()
         answered = self._answered
-        while self._asker not in (None, asker) and not answered.is_set():
-            left_s = self._asked_at + STALE_S - loop.time()
+        while self._prober not in (None, follower) and not answered.is_set():
+            left_s = self._probe_at + STUCK_AFTER_S - loop.time()
             if left_s <= 0:
                 break  # it is stuck: one that waits takes its place
             with suppress(TimeoutError):
@@ -47,6 +49,6 @@
                     await answered.wait()
         if answered.is_set():
             return
-        self._asker = asker
-        self._asked_at = loop.time() + pause_s
+        self._prober = follower
+        self._probe_at = loop.time() + pause_s
         await asyncio.sleep(pause_s)
--- a/src/lacewinggw/fleet/agentupdates.py
+++ b/src/lacewinggw/fleet/agentupdates.py
@@ -38,14 +38,14 @@
         warmup_ms=round(service.weights.warmup_s * MS_PER_S),
         origin=origin.origin if origin else "",
         origin_bytes_per_s=round(origin.origin_bytes_per_s) if origin else 0,
-        resumable=all_resume(table, service.name),
+        resumable=are_all_resumable(table, service.name),
         named=[
             messages.NamedVersion(due.version, round((now - due.received_at) * MS_PER_S))
             for due in knowledge.required_versions(model)
         ],
         targets_position=position.revision,
         store_era=position.era,
-        targets=[_told(each) for each in _staying(knowledge, service.name)],
+        targets=[_encode_target(each) for each in _remaining_targets(knowledge, service.name)],
     )
 
 
@@ -65,7 +65,7 @@
     return FleetContent(update.store_era, update.routes_version, versions, tuple(update.targets))
 
 
-def all_resume(table: RouteTable, name: ServiceName) -> bool:
+def are_all_resumable(table: RouteTable, name: ServiceName) -> bool:
     """Return whether every request of a service can go on at another target."""
     return all(
         route.retry_policy is RetryPolicy.RESUMABLE
@@ -74,7 +74,7 @@
     )
 
 
-def _staying(knowledge: RoutingView, name: ServiceName) -> Sequence[TargetEntry]:
+def _remaining_targets(knowledge: RoutingView, name: ServiceName) -> Sequence[TargetEntry]:
     return [
         entry
         for entry in knowledge.targets.values()
@@ -82,5 +82,5 @@
     ]
 
 
-def _told(entry: TargetEntry) -> messages.ServiceTarget:
+def _encode_target(entry: TargetEntry) -> messages.ServiceTarget:
     return messages.ServiceTarget(entry.name, entry.address, entry.place, entry.born_ms)
--- a/src/lacewinggw/fleet/announcer.py
+++ b/src/lacewinggw/fleet/announcer.py
@@ -9,8 +9,8 @@
 from lacewinggw.fleet.ownrows import OwnRows, member_row
 from lacewinggw.log import get_logger
 
-FIRST_RETRY_S = 0.3
-LONGEST_RETRY_S = 3.0  # nobody waits for it urgently: callers reach the others
+INITIAL_RETRY_S = 0.3
+MAX_RETRY_S = 3.0  # nobody waits for it urgently: callers reach the others
 
 log = get_logger(__name__)
 
@@ -45,14 +45,14 @@
             await self._announce()
 
     async def _announce(self) -> None:
-        retry_s = FIRST_RETRY_S
+        retry_s = INITIAL_RETRY_S
         while True:
             try:
                 await self._rows.put(member_row(self._member))
             except PlatformError as error:
                 log.info("announce_failed", error=error)
                 await asyncio.sleep(retry_s * self._rng.uniform(0.5, 1.5))
-                retry_s = min(LONGEST_RETRY_S, 2 * retry_s)
+                retry_s = min(MAX_RETRY_S, 2 * retry_s)
             else:
                 log.info("announced", address=self._member.address)
                 return
--- a/src/lacewinggw/fleet/feed.py
+++ b/src/lacewinggw/fleet/feed.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Lifted:
+class QuarantineLifted:
     """A request that is not suspected any more, nor in quarantine."""
 
     request: RequestDigest
@@ -57,21 +57,21 @@
 
 
 @dataclass(frozen=True)
-class Put:
+class ItemChanged:
     """An item that is new or has changed."""
 
     item: Item
 
 
 @dataclass(frozen=True)
-class Drop:
+class ItemRemoved:
     """An item that is no more: a target's id, a member's host, or the key of a request."""
 
     key: str
 
 
 @dataclass(frozen=True)
-class Unreadable:
+class UnreadableItem:
     """An entry that cannot be read, as another writer left or spoilt it: it says nothing.
 
     `revision` is the store's, so that one entry is told of once.
@@ -82,7 +82,7 @@
     reason: str
 
 
-Change: TypeAlias = Put | Drop | Unreadable
+Change: TypeAlias = ItemChanged | ItemRemoved | UnreadableItem
 
 
 @dataclass(frozen=True)
@@ -98,13 +98,13 @@
     changes: tuple[Change, ...]
     position: StorePosition
     whole: bool = False
-    told_s: float | None = None
+    store_time_s: float | None = None
     restored: bool = False
 
 
 def listed_targets(update: FeedUpdate) -> list[TargetEntry]:
     """Return the targets that an update puts on the list."""
-    items = [change.item for change in update.changes if isinstance(change, Put)]
+    items = [change.item for change in update.changes if isinstance(change, ItemChanged)]
     return [item for item in items if isinstance(item, TargetEntry)]
 
 
--- a/src/lacewinggw/fleet/follower.py
+++ b/src/lacewinggw/fleet/follower.py
@@ -16,7 +16,7 @@
 from lacewinggw.errors import PlatformError
 from lacewinggw.fleet.access import StoreAccess
 from lacewinggw.fleet.era import StoreEra
-from lacewinggw.fleet.feed import FeedUpdate, FleetFeed, HistoryGone, Topic, Unreadable
+from lacewinggw.fleet.feed import FeedUpdate, FleetFeed, HistoryGone, Topic, UnreadableItem
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics, RetryReason
 
@@ -24,23 +24,23 @@
 
 Apply = Callable[[FeedUpdate, AnswerTimes], None]
 
-FIRST_RETRY_S = 0.1
+INITIAL_RETRY_S = 0.1
 # Between looks whether the topic has to be read: soon at first, as an entry that starts waits for
 # some ms only, then less often, for each look of an idle process costs it a little time.
-FIRST_IDLE_S = 0.02
-LONGEST_IDLE_S = 0.2
+MIN_IDLE_S = 0.02
+MAX_IDLE_S = 0.2
 # A store that is back is noticed within half as much again. Three seconds after its return an entry
 # counts as in touch, and by then it must have let go of targets that vanished meanwhile.
-LONGEST_RETRY_S = 0.5
+MAX_RETRY_S = 0.5
 # All entries read a store that was restored whole. Those that the others wait for read at once, the
 # others within the second in which a restored store is to have all back that processes write.
 URGENT_SPREAD_S = 0.1
-VOUCHED_SPREAD_S = 0.8
-VOUCHED_STEP_S = 0.1  # between looks whether somebody still vouches for what is known
+CONFIRMED_SPREAD_S = 0.8
+CONFIRMED_CHECK_S = 0.1  # between looks whether somebody still vouches for what is known
 
 
 @dataclass(frozen=True)
-class Wait:
+class PollTimes:
     """How long one call waits for an update, and how long to let more gather after some came."""
 
     for_update_s: float
@@ -66,7 +66,7 @@
         topic: Topic,
         feed: FleetFeed,
         apply: Apply,
-        wait: Callable[[], Wait],
+        poll_times: Callable[[], PollTimes],
         clock: Clock,
         metrics: Metrics,
         rng: random.Random,
@@ -74,16 +74,16 @@
         era: StoreEra,
         access: StoreAccess,
         is_needed: Callable[[], bool] = lambda: True,
-        is_vouched: Callable[[], bool] = lambda: False,
+        is_confirmed: Callable[[], bool] = lambda: False,
         on_regained: Callable[[float], None] = lambda now: None,
     ) -> None:
         self._is_needed = is_needed
-        self._is_vouched = is_vouched
+        self._is_confirmed = is_confirmed
         self._on_regained = on_regained
         self._topic = topic
         self._feed = feed
         self._apply = apply
-        self._wait = wait
+        self._poll_times = poll_times
         self._clock = clock
         self._metrics = metrics
         self._rng = rng
@@ -96,12 +96,12 @@
         self._call: asyncio.Task[FeedUpdate] | None = None
         self._position: StorePosition | None = None
         self._lost_since: float | None = None
-        self._retry_s = FIRST_RETRY_S
+        self._retry_s = INITIAL_RETRY_S
         self._is_idle = False
-        self._idle_s = FIRST_IDLE_S
+        self._idle_s = MIN_IDLE_S
         self._reads = metrics.counter("store_reads", topic=topic)
         self._unreadable = metrics.counter("store_entries_unreadable", topic=topic)
-        self._told_unreadable: dict[str, int] = {}  # the revision that was told, by key
+        self._reported_unreadable: dict[str, int] = {}  # the revision that was told, by key
         self._loop = Background(f"follow {topic.value}", self._run)
 
     @property
@@ -114,7 +114,7 @@
         """Since when the store has not answered, or None while it does."""
         return self._lost_since
 
-    def advance(self, position: StorePosition) -> None:
+    def advance_to(self, position: StorePosition) -> None:
         """Note that all up to a position of the store is known from somebody else."""
         if position > self.position:
             self._position = position
@@ -144,12 +144,12 @@
                 self._is_idle = True
                 self._access.release(self)
                 await asyncio.sleep(self._idle_s)
-                self._idle_s = min(LONGEST_IDLE_S, 2 * self._idle_s)
+                self._idle_s = min(MAX_IDLE_S, 2 * self._idle_s)
                 continue
-            self._idle_s = FIRST_IDLE_S
-            if self._position is not None and not self._is_restored and self._is_vouched():
+            self._idle_s = MIN_IDLE_S
+            if self._position is not None and not self._is_restored and self._is_confirmed():
                 self._access.release(self)
-                await asyncio.sleep(VOUCHED_STEP_S)
+                await asyncio.sleep(CONFIRMED_CHECK_S)
                 continue
             sent_at = self._clock()
             try:
@@ -166,7 +166,7 @@
                 continue
             self._note_answer()
             if not self._era.note(update.position.era):
-                await asyncio.sleep(FIRST_RETRY_S)  # of a store that is no more
+                await asyncio.sleep(INITIAL_RETRY_S)  # of a store that is no more
                 continue
             if self._is_restored and not update.whole:
                 continue
@@ -175,12 +175,12 @@
                 self._is_restored = False
             self._position = max(self.position, update.position)
             self._was_read = True
-            self._tell_unreadable(update)
+            self._report_unreadable(update)
             self._apply(
-                update, self._store_clock.answer_times(sent_at, self._clock(), update.told_s)
+                update, self._store_clock.answer_times(sent_at, self._clock(), update.store_time_s)
             )
             if update.changes:
-                await asyncio.sleep(self._wait().after_update_s)
+                await asyncio.sleep(self._poll_times().after_update_s)
 
     async def _read_unless_interrupted(self) -> FeedUpdate:
         self._call = asyncio.get_running_loop().create_task(self._read())
@@ -197,7 +197,7 @@
     async def _read(self) -> FeedUpdate:
         self._reads.add()
         if self._is_restored:
-            spread_s = VOUCHED_SPREAD_S if self._is_vouched() else URGENT_SPREAD_S
+            spread_s = CONFIRMED_SPREAD_S if self._is_confirmed() else URGENT_SPREAD_S
             await asyncio.sleep(self._rng.uniform(0.0, spread_s))
         if self._position is None or self._is_restored:
             return await self._feed.snapshot(self._topic)
@@ -205,20 +205,20 @@
         # not wait ends soon. After a pause it proves at once that what is known is the newest.
         is_urgent = self._lost_since is not None or self._is_idle
         self._is_idle = False
-        wait_s = 0.0 if is_urgent else self._wait().for_update_s
+        wait_s = 0.0 if is_urgent else self._poll_times().for_update_s
         return await self._feed.changes(self._topic, self._position, wait_s)
 
-    def _tell_unreadable(self, update: FeedUpdate) -> None:
+    def _report_unreadable(self, update: FeedUpdate) -> None:
         """Log and count each entry that cannot be read, once a revision of it."""
-        found = [each for each in update.changes if isinstance(each, Unreadable)]
+        found = [each for each in update.changes if isinstance(each, UnreadableItem)]
         if update.whole:
             listed = {each.key for each in found}
-            for key in self._told_unreadable.keys() - listed:
-                del self._told_unreadable[key]
+            for key in self._reported_unreadable.keys() - listed:
+                del self._reported_unreadable[key]
         for each in found:
-            if self._told_unreadable.get(each.key) == each.revision:
+            if self._reported_unreadable.get(each.key) == each.revision:
                 continue
-            self._told_unreadable[each.key] = each.revision
+            self._reported_unreadable[each.key] = each.revision
             self._unreadable.add()
             log.warning(
                 "store_entry_unreadable",
@@ -233,11 +233,11 @@
         if self._lost_since is None:
             self._lost_since = self._clock()
             log.warning("store_lost", topic=self._topic.value, error=error)
-        await self._access.wait_to_ask(self, self._retry_s * self._rng.uniform(0.5, 1.5))
-        self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
+        await self._access.wait_to_retry(self, self._retry_s * self._rng.uniform(0.5, 1.5))
+        self._retry_s = min(MAX_RETRY_S, 2 * self._retry_s)
 
     def _note_answer(self) -> None:
-        self._retry_s = FIRST_RETRY_S
+        self._retry_s = INITIAL_RETRY_S
         self._access.note_answer()
         if self._lost_since is None:
             return
--- a/src/lacewinggw/fleet/listing.py
+++ b/src/lacewinggw/fleet/listing.py
@@ -2,19 +2,25 @@
 
 from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetlist import TargetEntry
-from lacewinggw.fleet.feed import Drop, FeedUpdate, Put, Unreadable, listed_targets
+from lacewinggw.fleet.feed import (
+    FeedUpdate,
+    ItemChanged,
+    ItemRemoved,
+    UnreadableItem,
+    listed_targets,
+)
 from lacewinggw.ids import TargetName
 
 
-def take_listing(knowledge: RoutingView, update: FeedUpdate, now: float) -> None:
+def apply_target_list(knowledge: RoutingView, update: FeedUpdate, now: float) -> None:
     """Take targets that are new, changed or gone; one that cannot be read is let go at once."""
     if update.whole:
         knowledge.replace_targets(listed_targets(update), now, update.restored)
     for change in update.changes:
         match change:
-            case Put(TargetEntry() as entry) if not update.whole:
+            case ItemChanged(TargetEntry() as entry) if not update.whole:
                 knowledge.update_target(entry)
-            case Drop(key):
+            case ItemRemoved(key):
                 knowledge.remove_delisted(TargetName(key), now)
-            case Unreadable(key):
+            case UnreadableItem(key):
                 knowledge.remove_unreadable(TargetName(key))
--- a/src/lacewinggw/fleet/ownrows.py
+++ b/src/lacewinggw/fleet/ownrows.py
@@ -53,7 +53,7 @@
     return f"{CRASHING_PREFIX}{request}"
 
 
-def crashing_by(key: str) -> RequestDigest | None:
+def parse_crashing_key(key: str) -> RequestDigest | None:
     """Return the request that a key stands for, None for another kind of key."""
     if not key.startswith(CRASHING_PREFIX):
         return None
@@ -62,7 +62,7 @@
 
 def decode_own_row(key: str, value: Mapping[str, Any]) -> MemberEntry | CrashingRequest:
     """Return what a row says; raise `KeyError` or `ValueError` for one that says nothing."""
-    request = crashing_by(key)
+    request = parse_crashing_key(key)
     if request is None:
         return MemberEntry(member_from_json(value))
     targets = value["targets"]
--- a/src/lacewinggw/frontend/admission.py
+++ b/src/lacewinggw/frontend/admission.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Admitted:
+class AdmittedRequest:
     """A request that may be served; `deadline` by the loop's clock, in seconds."""
 
     call: Call
@@ -49,7 +49,7 @@
 
 def admit(
     call: Call, facts: CallFacts, knowledge: RoutingView, now: float, rng: random.Random
-) -> Admitted:
+) -> AdmittedRequest:
     """Return the request with its route and account; `now` is by the clock of the knowledge.
 
     Raise `NotReady` while too little is known, `UnknownPath` and `BadToken` for what is denied.
@@ -63,7 +63,7 @@
     if account is not None and account.priority is not None:
         priority = account.priority
     time_left_s = facts.time_left_s if facts.time_left_s is not None else MAX_TIME_LEFT_S
-    return Admitted(
+    return AdmittedRequest(
         call=call,
         facts=facts,
         route=route,
--- a/src/lacewinggw/frontend/agents.py
+++ b/src/lacewinggw/frontend/agents.py
@@ -15,21 +15,23 @@
 from lacewinggw.decisions.targetlist import TargetEntry, make_target_id
 from lacewinggw.entry.watches import AgentWatches, WatchedAgent
 from lacewinggw.fleet.agentupdates import FleetContent, compose_update, content_of
-from lacewinggw.frontend.departures import Departures, LeavingSource
-from lacewinggw.frontend.sight import Sight
+from lacewinggw.frontend.leavingtargets import LeavingSource, LeavingTargets
+from lacewinggw.frontend.storefollower import StoreFollower
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import Address, HostId, ModelName, Place, ServiceName, TargetName
 from lacewinggw.wire.peers import PeerNode
 from lacewinggw.wire.soundness import require_sound
 
-FLEET_UPDATE_S = 1.5  # between updates for agents without a change
-GATHER_S = 0.02  # changes that come together are told together
+FLEET_UPDATE_INTERVAL_S = 1.5  # between updates for agents without a change
+COALESCE_S = 0.02  # changes that come together are told together
 MS_PER_S = 1000.0
-SPEAKERS = 2  # entries that tell one agent; with one, its death would leave the agent to the store
+NOTIFIERS_PER_AGENT = (
+    2  # entries that tell one agent; with one, its death would leave the agent to the store
+)
 
 
 @dataclass(frozen=True)
-class _Told:
+class _SentUpdate:
     """What agents were told last, and when."""
 
     content: FleetContent
@@ -51,8 +53,8 @@
         port: str,
         knowledge: RoutingView,
         pool: TargetPool,
-        departures: Departures,
-        speakers: Callable[[], Sequence[HostId]],
+        leaving_targets: LeavingTargets,
+        notifiers: Callable[[], Sequence[HostId]],
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -62,18 +64,18 @@
         self._port = port
         self._knowledge = knowledge
         self._pool = pool
-        self._departures = departures
-        self._speakers = speakers
+        self._leaving_targets = leaving_targets
+        self._notifiers = notifiers
         self._clock = clock
-        self._sight: Sight | None = None
+        self._store: StoreFollower | None = None
         self._watches = AgentWatches(node, me, lambda host: None, rng)
-        self._told: dict[ServiceName, _Told] = {}
+        self._sent: dict[ServiceName, _SentUpdate] = {}
         self._changed = asyncio.Event()
         self._loop = Background("fleet updates", self._run)
 
-    async def start(self, sight: Sight) -> None:
+    async def start(self, store: StoreFollower) -> None:
         """Begin to listen, and to tell what `sight` brings."""
-        self._sight = sight
+        self._store = store
         self._watches.start()
         self._loop.start()
 
@@ -82,7 +84,7 @@
         await self._loop.close()
         await self._watches.close()
 
-    def note_change(self) -> None:
+    def schedule_update(self) -> None:
         """Watch the agents of the targets that there are now, and tell all what is new."""
         self._watch()
         self._changed.set()
@@ -96,9 +98,9 @@
         agents = {self._agent_of(entry): entry.place for entry in entries}
         places = {agent.host: place for agent, place in agents.items()}
         wanted = choose_agents(self._me, self._place, places)
-        speakers = self._speakers()
+        notifiers = self._notifiers()
         self._watches.set_targets(
-            {a for a in agents if a.host in wanted or self._speaks_to(a.host, speakers)}
+            {a for a in agents if a.host in wanted or self._notifies(a.host, notifiers)}
         )
 
     def apply_update(self, update: messages.TargetUpdate) -> None:
@@ -106,16 +108,16 @@
         require_sound(update)
         name = TargetName(update.name)
         self._knowledge.record_incarnation(name, update.born_ms)
-        self._departures.note_known(LeavingSource.AGENT)
+        self._leaving_targets.publish_new(LeavingSource.AGENT)
         target = make_target_id(name, update.born_ms)
         now = asyncio.get_running_loop().time()
         sent_s = update.sent_ms / MS_PER_S
         self._pool.note_report(target, update.running + update.queued, now, update.loading, sent_s)
         if update.leaving:
-            self._departures.note(target, LeavingSource.AGENT)
-        if self._sight is not None:
+            self._leaving_targets.mark_leaving(target, LeavingSource.AGENT)
+        if self._store is not None:
             held = {ModelName(each.model): each.version for each in update.held}
-            self._sight.note_weights(target, held)
+            self._store.note_weights(target, held)
 
     def _agent_of(self, entry: TargetEntry) -> WatchedAgent:
         host = entry.address.rpartition(":")[0]
@@ -124,18 +126,18 @@
     async def _run(self) -> None:
         while True:
             self._watch()  # those that this entry is to tell change as entries come and go
-            self._tell()
+            self._send_updates()
             with suppress(TimeoutError):
-                async with asyncio.timeout(FLEET_UPDATE_S):
+                async with asyncio.timeout(FLEET_UPDATE_INTERVAL_S):
                     await self._changed.wait()
             self._changed.clear()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(COALESCE_S)
 
-    def _tell(self) -> None:
-        routes, sight = self._knowledge.routes, self._sight
+    def _send_updates(self) -> None:
+        routes, sight = self._knowledge.routes, self._store
         if routes is None or sight is None or not sight.has_targets:
             return
-        speakers = self._speakers()
+        notifiers = self._notifiers()
         for service in routes.services.values():
             position = sight.targets_position
             update = compose_update(self._knowledge, service, position, self._clock())
@@ -143,7 +145,7 @@
                 continue
             for entry in self._knowledge.targets.values():
                 agent = self._agent_of(entry)
-                if entry.service == service.name and self._speaks_to(agent.host, speakers):
+                if entry.service == service.name and self._notifies(agent.host, notifiers):
                     self._node.notify_open(agent.address, update)
 
     def _is_due(self, service: ServiceName, update: messages.FleetUpdate) -> bool:
@@ -152,11 +154,15 @@
         Rows of targets change each second, and most of it concerns entries only.
         """
         now, content = self._clock(), content_of(update)
-        told = self._told.get(service)
-        if told is not None and told.content == content and now - told.at < FLEET_UPDATE_S:
+        last_sent = self._sent.get(service)
+        if (
+            last_sent is not None
+            and last_sent.content == content
+            and now - last_sent.at < FLEET_UPDATE_INTERVAL_S
+        ):
             return False
-        self._told[service] = _Told(content, now)
+        self._sent[service] = _SentUpdate(content, now)
         return True
 
-    def _speaks_to(self, agent: HostId, speakers: Sequence[HostId]) -> bool:
-        return rendezvous_rank(f"fleet news/{agent}", self._me, speakers) < SPEAKERS
+    def _notifies(self, agent: HostId, notifiers: Sequence[HostId]) -> bool:
+        return rendezvous_rank(f"fleet news/{agent}", self._me, notifiers) < NOTIFIERS_PER_AGENT
--- a/src/lacewinggw/frontend/agentslots.py
+++ b/src/lacewinggw/frontend/agentslots.py
@@ -30,7 +30,7 @@
         self._node = node
         self._port = port
 
-    def ask(self, load: TargetLoad, wish: SlotRequest) -> "AgentSlotCall | None":
+    def ask(self, load: TargetLoad, request: SlotRequest) -> "AgentSlotCall | None":
         """Ask for a slot of a target."""
         host = load.entry.address.rpartition(":")[0]
         link = self._node.open_link(Address(f"{host}:{self._port}"))
@@ -38,12 +38,12 @@
             return None
         question = messages.AskSlot(
             slots=load.entry.slots,
-            rank=wish.rank,
-            late=wish.is_late,
-            wait_ms=max(0, round(wish.wait_s * MS_PER_S)),
-            reading_us=round(wish.prefill_s * US_PER_S),
-            suspect=wish.suspect or "",
-            waited_us=round(wish.waited_s * US_PER_S),
+            rank=request.rank,
+            late=request.is_late,
+            wait_ms=max(0, round(request.wait_s * MS_PER_S)),
+            reading_us=round(request.prefill_s * US_PER_S),
+            suspect=request.suspect or "",
+            waited_us=round(request.waited_s * US_PER_S),
         )
         return AgentSlotCall(link.open(question))
 
@@ -58,12 +58,12 @@
     async def answer(self) -> SlotAnswer:
         """Return the next thing that the agent says; LOST when it cannot be heard any more."""
         try:
-            told = await anext(self._answers)
+            reply = await anext(self._answers)
         except (LacewingError, StopAsyncIteration):
             return SlotAnswer.LOST
-        if not isinstance(told, messages.SlotUpdate):
+        if not isinstance(reply, messages.SlotUpdate):
             return SlotAnswer.LOST
-        return ANSWERS.get(told.state, SlotAnswer.LOST)
+        return ANSWERS.get(reply.state, SlotAnswer.LOST)
 
     def end(self) -> None:
         """Give the slot back, or leave the line for it."""
--- a/src/lacewinggw/frontend/callers.py
+++ b/src/lacewinggw/frontend/callers.py
@@ -22,16 +22,16 @@
 BAD_REQUEST = 400
 CONTENT_TOO_LARGE = 413
 PIPELINED_BYTES = 1 << 16  # of further requests, taken in while one is in progress
-CLOSE_WAIT_S = 0.5  # for the caller to read a refusal before the connection is reset
+REFUSAL_READ_S = 0.5  # for the caller to read a refusal before the connection is reset
 
 log = get_logger(__name__)
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection, or the way to it is cut."""
 
 
-class Caller:
+class CallerConnection:
     """One connection: the requests on it, one after the other, and their answers."""
 
     def __init__(self, stream: Stream, limits: CallerLimits) -> None:
@@ -42,13 +42,13 @@
         self._close_after = False
 
     @property
-    def may_go_on(self) -> bool:
+    def can_be_reused(self) -> bool:
         """Whether another request can follow on this connection."""
         done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         return done and not self._close_after
 
     @property
-    def has_begun(self) -> bool:
+    def has_started_answer(self) -> bool:
         """Whether part of an answer has been sent."""
         return self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
 
@@ -122,16 +122,16 @@
                 case h11.NEED_DATA:
                     await self._receive()
                 case _:
-                    raise CallerGone
+                    raise CallerDisconnected
 
     async def _receive(self) -> None:
         try:
             data = await self._stream.read(READ_BYTES)
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
         self._http.receive_data(data)
 
-    async def watch(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return once the caller has left; what else it sends is kept for later."""
         while self._read_ahead < PIPELINED_BYTES:
             try:
@@ -172,7 +172,7 @@
 
     async def refuse(self, error: LacewingError, status: int = 0, keep: bool = True) -> None:
         """Send an error as a problem; with `keep` false it is the last answer."""
-        if self.has_begun:
+        if self.has_started_answer:
             return
         if not keep:
             self._close_after = True
@@ -193,7 +193,7 @@
             self._stream.write(data)
             await self._stream.drain()
         except OSError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
 
 def _decode_headers(event: h11.Request) -> HeaderList:
@@ -209,7 +209,7 @@
         raise HttpError(BAD_REQUEST, "the length of the body is said twice")
 
 
-Serve = Callable[[Call, Caller], Awaitable[None]]
+Serve = Callable[[Call, CallerConnection], Awaitable[None]]
 
 
 class CallerListener:
@@ -229,8 +229,8 @@
         self._listener: Listener | None = None
         self._idle: set[asyncio.Task[None]] = set()
         self._busy: set[asyncio.Task[None]] = set()
-        self._leaving = False
-        self._closing = False
+        self._is_leaving = False
+        self._is_closing = False
 
     @property
     def address(self) -> str:
@@ -247,14 +247,14 @@
         """Bind and accept."""
         self._listener = await self._network.listen(self._address, self._accept)
 
-    def leave(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Have each answer from now on be the last on its connection."""
-        self._leaving = True
+        self._is_leaving = True
 
     async def close(self, grace_s: float = 0.0) -> None:
         """Stop accepting, let requests in progress end, then cut the rest."""
-        self.leave()
-        self._closing = True
+        self.disable_keep_alive()
+        self._is_closing = True
         if self._listener is not None:
             await self._listener.close()
         for task in list(self._idle):
@@ -270,44 +270,44 @@
     async def _accept(self, stream: Stream) -> None:
         task = asyncio.current_task()
         assert task is not None
-        caller = Caller(stream, self._limits())
+        caller = CallerConnection(stream, self._limits())
         self._idle.add(task)
         try:
             await self._serve_all(caller, task)
-        except (CallerGone, OSError, TimeoutError, h11.LocalProtocolError):
+        except (CallerDisconnected, OSError, TimeoutError, h11.LocalProtocolError):
             return
         except asyncio.CancelledError:
-            if not self._leaving:
+            if not self._is_leaving:
                 raise
         finally:
             self._idle.discard(task)
             self._busy.discard(task)
             caller.close()
 
-    async def _serve_all(self, caller: Caller, task: "asyncio.Task[None]") -> None:
+    async def _serve_all(self, caller: CallerConnection, task: "asyncio.Task[None]") -> None:
         while True:
             try:
                 call = await caller.next_call()
             except HttpError as error:
                 log.info("call_malformed", status=error.status, reason=str(error))
                 await caller.refuse(MalformedHttp(str(error)), error.status, keep=False)
-                await self._let_it_read(caller)
+                await self._wait_until_read(caller)
                 return
             if call is None:
                 return
             self._busy.add(task)
             self._idle.discard(task)
-            if self._leaving:
+            if self._is_leaving:
                 caller.close_after_answer()
             await self._serve(call, caller)
             self._busy.discard(task)
             self._idle.add(task)
             # A request on a connection that was busy when closing began would be cut midway.
-            if self._closing or not caller.may_go_on:
+            if self._is_closing or not caller.can_be_reused:
                 return
 
-    async def _let_it_read(self, caller: Caller) -> None:
+    async def _wait_until_read(self, caller: CallerConnection) -> None:
         """Read on for a moment: closing over unread bytes would take the refusal away."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(CLOSE_WAIT_S):
-                await caller.watch()
+            async with asyncio.timeout(REFUSAL_READ_S):
+                await caller.wait_for_disconnect()
--- a/src/lacewinggw/frontend/calls.py
+++ b/src/lacewinggw/frontend/calls.py
@@ -11,7 +11,7 @@
 from lacewinggw.ids import Account, ModelName, TargetName
 from lacewinggw.wire.http import HeaderList, Headers
 
-USUAL_URGENCY = 5  # of a request that says nothing; 0 is the most urgent, 9 the least
+DEFAULT_URGENCY = 5  # of a request that says nothing; 0 is the most urgent, 9 the least
 
 # Headers that concern one connection and are never passed on (RFC 9110, section 7.6.1).
 HOP_HEADERS = frozenset(
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Dispatch:
+class DispatchFacts:
     """What a target is told beside the caller's own head.
 
     The target refuses the request unless it is `target`, and unless it has `version` where that is
@@ -73,7 +73,7 @@
     target: TargetName
     account: Account | None
     time_left_ms: int
-    urgency: int = USUAL_URGENCY
+    urgency: int = DEFAULT_URGENCY
     version: int | None = None
     resume_after: int | None = None
 
@@ -106,14 +106,14 @@
     def read_call(self, headers: HeaderList) -> CallFacts:
         """Return what the head of a request tells; raise `MalformedHttp` for what it cannot."""
 
-    def write_call(self, headers: HeaderList, dispatch: Dispatch) -> HeaderList:
+    def write_call(self, headers: HeaderList, dispatch: DispatchFacts) -> HeaderList:
         """Return the head that goes to a target."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
         """Return what the head of an answer tells."""
 
 
-def pass_on(headers: HeaderList) -> list[tuple[str, str]]:
+def end_to_end_headers(headers: HeaderList) -> list[tuple[str, str]]:
     """Return the headers that are not about one connection."""
     named = _named_by_connection(headers)
     return [
--- a/src/lacewinggw/frontend/crashes.py
+++ b/src/lacewinggw/frontend/crashes.py
@@ -15,11 +15,11 @@
 from lacewinggw.decisions.crashes import Crash, CrashStatus, CrashTracker
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.errors import RequestQuarantined
-from lacewinggw.fleet.feed import CrashingRequest, Lifted
+from lacewinggw.fleet.feed import CrashingRequest, QuarantineLifted
 from lacewinggw.fleet.ownrows import OwnRows
-from lacewinggw.frontend.admission import Admitted
+from lacewinggw.frontend.admission import AdmittedRequest
 from lacewinggw.frontend.crashrows import CrashRows
-from lacewinggw.frontend.crashupdates import CrashReport, Served, crashes_in_turn, take_report
+from lacewinggw.frontend.crashupdates import CrashReport, Served, merge_report, sequential_crashes
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import RequestDigest, ServiceName, TargetId
 from lacewinggw.log import get_logger
@@ -27,19 +27,21 @@
 from lacewinggw.wire.http import HttpClient
 
 MS_PER_S = 1000.0
-PROBE_S = 0.25  # connecting takes some ms; a host that is cut off does not answer at all
+PROBE_TIMEOUT_S = 0.25  # connecting takes some ms; a host that is cut off does not answer at all
 # What waits for the proof is about to be tried again, or to fail: a refusal takes some ms.
 PROBE_WAIT_S = 0.05
 # Crashes that come together are told together: when a host fails, or many targets at once, each
 # entry has some to tell and passes on those of others.
-GATHER_S = 0.05
-LISTED_STEP_S = 0.1  # between crashes that were written down: when they came is not known
-ENDED_KEPT = 256  # targets that ended, so that each is asked once however many connections broke
+COALESCE_S = 0.05
+ASSUMED_INTERVAL_S = 0.1  # between crashes that were written down: when they came is not known
+MAX_ENDED_TARGETS = (
+    256  # targets that ended, so that each is asked once however many connections broke
+)
 
 log = get_logger(__name__)
 
 
-class CrashWatch:
+class CrashMonitor:
     """Keeps requests that end targets away from them.
 
     `tell` sends updates to the entries that listen here. What others send is passed on where
@@ -54,21 +56,21 @@
         self,
         http: HttpClient,
         rows: OwnRows,
-        tell: Callable[[messages.CrashUpdate], None],
-        passes_on: Callable[[], bool],
+        broadcast: Callable[[messages.CrashUpdate], None],
+        is_forwarder: Callable[[], bool],
         clock: Clock,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
         self._http = http
-        self._tell = tell
-        self._passes_on = passes_on
+        self._broadcast = broadcast
+        self._is_forwarder = is_forwarder
         self._clock = clock
         self._ledger = CrashTracker()
         self._rows = CrashRows(rows, self._ledger, rng)
-        self._untold = CrashReport()
+        self._pending = CrashReport()
         self._probes: dict[TargetId, asyncio.Task[bool]] = {}
-        self._ended: dict[TargetId, None] = {}
+        self._ended_targets: dict[TargetId, None] = {}
         self._changed = asyncio.Event()
         self._crashes = metrics.counter("target_crashes")
         metrics.read_gauge("requests_quarantined", lambda: len(self._ledger.quarantined))
@@ -88,7 +90,7 @@
 
     # ---- requests of this entry -----------------------------------------------------------
 
-    def require_allowed(self, admitted: Admitted) -> None:
+    def require_not_quarantined(self, admitted: AdmittedRequest) -> None:
         """Raise `RequestQuarantined` for a request that ends targets."""
         if self._ledger.is_empty:
             return
@@ -100,15 +102,17 @@
             f"targets of {admitted.service} end under this request", retry_after_ms=left_ms
         )
 
-    def is_quarantined(self, admitted: Admitted) -> bool:
+    def is_quarantined(self, admitted: AdmittedRequest) -> bool:
         """Return whether a request is kept away from targets."""
-        return self._standing(admitted) is CrashStatus.QUARANTINED
+        return self._status(admitted) is CrashStatus.QUARANTINED
 
-    def is_suspect(self, admitted: Admitted) -> bool:
+    def is_suspect(self, admitted: AdmittedRequest) -> bool:
         """Return whether a request is to run beside no other suspect."""
-        return self._standing(admitted) is CrashStatus.SUSPECT
+        return self._status(admitted) is CrashStatus.SUSPECT
 
-    async def note_lost(self, admitted: Admitted, entry: TargetEntry, began_at: float) -> None:
+    async def note_connection_lost(
+        self, admitted: AdmittedRequest, entry: TargetEntry, began_at: float
+    ) -> None:
         """Take that a request sent at `began_at` was broken off; return once it is known why.
 
         Nothing is noted unless the target has ended.
@@ -119,19 +123,19 @@
             self._probes[entry.target] = probe
         at = self._clock()
         crash = Crash(admitted.digest, entry.target, min(began_at, at), at)
-        probe.add_done_callback(lambda done: self._note_probed(done, crash, admitted.service))
+        probe.add_done_callback(lambda done: self._on_probe_done(done, crash, admitted.service))
         await asyncio.wait((probe,), timeout=PROBE_WAIT_S)
 
-    def note_served(self, admitted: Admitted) -> None:
+    def note_served(self, admitted: AdmittedRequest) -> None:
         """Take that a target served a request."""
         if self._ledger.is_empty:
             return
         now = self._clock()
         if self._ledger.note_served(admitted.digest, now):
-            self._untold.served.append(Served(admitted.digest, now))
+            self._pending.served.append(Served(admitted.digest, now))
             self._changed.set()
 
-    def _standing(self, admitted: Admitted) -> CrashStatus:
+    def _status(self, admitted: AdmittedRequest) -> CrashStatus:
         if self._ledger.is_empty:
             return CrashStatus.CLEAR
         return self._ledger.status(admitted.digest, self._clock())
@@ -139,30 +143,32 @@
     async def _probe(self, entry: TargetEntry) -> bool:
         """Return whether a start of a target has ended."""
         try:
-            if entry.target in self._ended:
+            if entry.target in self._ended_targets:
                 return True
-            has_ended = await self._http.refuses(entry.address, PROBE_S)
+            has_ended = await self._http.refuses(entry.address, PROBE_TIMEOUT_S)
         finally:
             self._probes.pop(entry.target, None)
         if has_ended:
             self._crashes.add()
-            self._ended[entry.target] = None
-            while len(self._ended) > ENDED_KEPT:
-                del self._ended[next(iter(self._ended))]
+            self._ended_targets[entry.target] = None
+            while len(self._ended_targets) > MAX_ENDED_TARGETS:
+                del self._ended_targets[next(iter(self._ended_targets))]
             log.info("target_crashed", target=entry.target, address=entry.address)
         return has_ended
 
-    def _note_probed(self, probe: "asyncio.Task[bool]", crash: Crash, service: ServiceName) -> None:
+    def _on_probe_done(
+        self, probe: "asyncio.Task[bool]", crash: Crash, service: ServiceName
+    ) -> None:
         if probe.cancelled() or probe.exception() is not None or not probe.result():
             return
-        self._rows.note_seen(crash.request, service)
+        self._rows.note_observed(crash.request, service)
         if self._ledger.note_crash(crash, self._clock()):
-            self._untold.crashes.append(crash)
+            self._pending.crashes.append(crash)
         self._changed.set()
 
     # ---- other entries, and the store -----------------------------------------------------
 
-    def latest(self) -> messages.CrashUpdate | None:
+    def compose_full_update(self) -> messages.CrashUpdate | None:
         """Return all that is known, for an entry that begins to listen; None if that is nothing."""
         if self._ledger.is_empty:
             return None
@@ -171,32 +177,32 @@
     def apply_update(self, update: messages.CrashUpdate) -> None:
         """Take what another entry knows; raise `ProtocolViolation` when it is not sound."""
         now = self._clock()
-        heard = take_report(self._ledger, CrashReport.from_message(update, now), now)
-        self._note_heard(heard, "entry")
+        new = merge_report(self._ledger, CrashReport.from_message(update, now), now)
+        self._apply_received(new, "entry")
 
-    def take_listed(self, change: CrashingRequest | Lifted) -> None:
+    def apply_store_change(self, change: CrashingRequest | QuarantineLifted) -> None:
         """Take that the store lists a request as one that may end targets, or lists it no more."""
         match change:
             case CrashingRequest(request, _, targets, is_quarantined):
                 now = self._clock()
-                crashes = crashes_in_turn(request, targets, LISTED_STEP_S, now)
+                crashes = sequential_crashes(request, targets, ASSUMED_INTERVAL_S, now)
                 quarantined = [request] if is_quarantined else []
                 listed = CrashReport(crashes, [], quarantined)
-                self._note_heard(take_report(self._ledger, listed, now), "store")
-            case Lifted(request):
+                self._apply_received(merge_report(self._ledger, listed, now), "store")
+            case QuarantineLifted(request):
                 self._rows.note_removed(request)
                 if self._ledger.lift_quarantine(request):
                     log.info("quarantine_lifted", digest=request, source="store")
 
-    def write_again(self, listed: Set[str]) -> None:
+    def rewrite_missing(self, listed: Set[str]) -> None:
         """Write what this entry has written, and the list lacks."""
-        self._rows.write_again(listed)
+        self._rows.rewrite_missing(listed)
 
-    def _note_heard(self, heard: CrashReport, source: str) -> None:
-        for request in heard.quarantined:
+    def _apply_received(self, new: CrashReport, source: str) -> None:
+        for request in new.quarantined:
             self._log_quarantined(request, source)
-        if self._passes_on():
-            self._untold.add(heard)
+        if self._is_forwarder():
+            self._pending.add(new)
         self._changed.set()
 
     def _log_quarantined(self, request: RequestDigest, source: str) -> None:
@@ -206,13 +212,13 @@
     async def _run(self) -> None:
         while True:
             await self._wait_for_update()
-            await asyncio.sleep(GATHER_S)
-            self._judge()
+            await asyncio.sleep(COALESCE_S)
+            self._quarantine_new()
             self._end_expired()
             self._rows.update()
-            untold, self._untold = self._untold, CrashReport()
-            if untold:
-                self._tell(untold.to_message(self._clock()))
+            report, self._pending = self._pending, CrashReport()
+            if report:
+                self._broadcast(report.to_message(self._clock()))
 
     async def _wait_for_update(self) -> None:
         """Wait until there is something to tell, or to judge."""
@@ -222,14 +228,14 @@
                 await self._changed.wait()
         self._changed.clear()
 
-    def _judge(self) -> None:
+    def _quarantine_new(self) -> None:
         for request in self._ledger.quarantine_culprits(self._clock()):
             self._log_quarantined(request, "own")
-            self._untold.quarantined.append(request)
+            self._pending.quarantined.append(request)
 
     def _end_expired(self) -> None:
         for request in self._ledger.expired_quarantines(self._clock()):
             self._ledger.lift_quarantine(request)
             log.info("quarantine_lifted", digest=request, source="time")
-            if self._passes_on():
+            if self._is_forwarder():
                 self._rows.remove(request)
--- a/src/lacewinggw/frontend/crashrows.py
+++ b/src/lacewinggw/frontend/crashrows.py
@@ -45,7 +45,7 @@
         """Stop writing."""
         await self._loop.close()
 
-    def note_seen(self, request: RequestDigest, service: ServiceName) -> None:
+    def note_observed(self, request: RequestDigest, service: ServiceName) -> None:
         """Note that a request was running here on a target that ended."""
         self._services.setdefault(request, service)
 
@@ -63,7 +63,7 @@
                 self._written[request] = entry
             self._note_to_write(request, entry)
 
-    def write_again(self, listed: Set[str]) -> None:
+    def rewrite_missing(self, listed: Set[str]) -> None:
         """Write what this entry has written, and the list lacks."""
         for request, entry in self._written.items():
             if crashing_key(request) not in listed:
--- a/src/lacewinggw/frontend/crashupdates.py
+++ b/src/lacewinggw/frontend/crashupdates.py
@@ -41,10 +41,10 @@
         """Return what another entry told; raise `ProtocolViolation` when it is not sound."""
         require_sound(update)
         return cls(
-            [_decode_crash(told, now) for told in update.crashes],
+            [_decode_crash(message, now) for message in update.crashes],
             [
-                Served(RequestDigest(told.request_digest), now - told.age_ms / MS_PER_S)
-                for told in update.served
+                Served(RequestDigest(message.request_digest), now - message.age_ms / MS_PER_S)
+                for message in update.served
             ],
             [RequestDigest(digest) for digest in update.quarantined],
         )
@@ -67,7 +67,7 @@
         self.quarantined += other.quarantined
 
 
-def take_report(ledger: CrashTracker, report: CrashReport, now: float) -> CrashReport:
+def merge_report(ledger: CrashTracker, report: CrashReport, now: float) -> CrashReport:
     """Take a report into a ledger; return what of it was new."""
     served = [each for each in report.served if ledger.note_served(each.request, each.at)]
     crashes = [crash for crash in report.crashes if ledger.note_crash(crash, now)]
@@ -75,7 +75,7 @@
     return CrashReport(crashes, served, quarantined)
 
 
-def crashes_in_turn(
+def sequential_crashes(
     request: RequestDigest, targets: Iterable[TargetId], step_s: float, now: float
 ) -> list[Crash]:
     """Return crashes of which only the order is known, `step_s` apart and just before now."""
@@ -91,10 +91,10 @@
     return messages.TargetCrash(crash.request, crash.target, ran_ms, age_ms)
 
 
-def _decode_crash(told: messages.TargetCrash, now: float) -> Crash:
-    at = now - told.age_ms / MS_PER_S
-    began_at = at - told.ran_ms / MS_PER_S
-    return Crash(RequestDigest(told.request_digest), TargetId(told.target), began_at, at)
+def _decode_crash(message: messages.TargetCrash, now: float) -> Crash:
+    at = now - message.age_ms / MS_PER_S
+    began_at = at - message.ran_ms / MS_PER_S
+    return Crash(RequestDigest(message.request_digest), TargetId(message.target), began_at, at)
 
 
 def _to_ms(seconds: float) -> int:
--- a/src/lacewinggw/frontend/queue.py
+++ b/src/lacewinggw/frontend/dispatchqueue.py
@@ -20,31 +20,31 @@
 
 # Of a request that is tried again, before all others: work was done for it, and its caller may have
 # part of the answer.
-FIRST_PRIORITY = -1
-LOOK_S = 0.25  # between looks for targets that cannot be reached any more, to log them
+RETRY_PRIORITY = -1
+REACH_CHECK_S = 0.25  # between looks for targets that cannot be reached any more, to log them
 TICK_S = 0.02  # reports age and pauses end without an event of their own
 # Until a target may run a request where none may now: after a loss of power targets are back within
 # 1.5 s, weights that are late take longer. A caller waits for a third of its time at most.
-ABSENT_RETURN_S = (1.2, 2.0)
+NO_TARGET_RETRY_AFTER_S = (1.2, 2.0)
 # A burst lasts some seconds, and callers wait for a third of their time.
-RETURN_S = (MIN_RETRY_AFTER_S, 2.0)
-OPENING_SPREAD_S = 0.5  # of callers that come back as a target takes requests again
+FULL_RETRY_AFTER_S = (MIN_RETRY_AFTER_S, 2.0)
+REOPEN_SPREAD_S = 0.5  # of callers that come back as a target takes requests again
 # A late request that starts within it found a free slot, which says nothing of those that wait.
-AT_ONCE_S = 0.03
+IMMEDIATE_START_S = 0.03
 MS_PER_S = 1000
 
 log = get_logger(__name__)
 
 
 @dataclass
-class _Waiting:
+class _WaitingRequest:
     """A request in a line, and what it waits for."""
 
-    wish: TargetRequirements
+    requirements: TargetRequirements
     found: "asyncio.Future[InFlightRequest]"
 
 
-class RequestQueue:
+class DispatchQueue:
     """Gives each request a target at once, later, or not at all.
 
     A slot of a target with an agent is asked for there, by `ask_slot`; for the others, and for
@@ -60,10 +60,10 @@
         self._ask_slot = ask_slot
         self._leases: dict[int, Lease] = {}
         self._lines: dict[ServiceName, WaitQueue] = defaultdict(WaitQueue)
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting_requests: dict[int, _WaitingRequest] = {}
         self._searches: set[SlotSearch] = set()
         self._wait = metrics.latency("queue_wait")
-        metrics.read_gauge("requests_waiting", lambda: len(self._waiting))
+        metrics.read_gauge("requests_waiting", lambda: len(self._waiting_requests))
         self._loop = Background("request queue", self._run)
 
     async def start(self) -> None:
@@ -75,7 +75,7 @@
         await self._loop.close()
 
     async def claim(
-        self, wish: TargetRequirements, priority: int, is_late: bool, until: float
+        self, requirements: TargetRequirements, priority: int, is_late: bool, until: float
     ) -> InFlightRequest:
         """Return room at a target, waiting for one up to `until` by the loop's clock.
 
@@ -83,23 +83,23 @@
         would be too long, or later when it was.
         """
         now = _now()
-        line = self._lines[wish.service]
-        fitting = self._pool.eligible(wish)
+        line = self._lines[requirements.service]
+        fitting = self._pool.eligible(requirements)
         if not fitting:
-            raise self._refusal(wish)
+            raise self._build_refusal(requirements)
         if self._pool.choose_for_slot(fitting, now, frozenset()) is not None:
-            return await self._claim_slot(wish, priority, is_late, until)
+            return await self._claim_slot(requirements, priority, is_late, until)
         if not len(line):
             load = self._pool.choose(fitting, now, is_late)
             if load is not None:
-                return self._begin(line, load, wish, now)
+                return self._begin(line, load, requirements, now)
         allowed_at = min(load.allowed_at(now) for load in fitting)
         expected_s = line.expected_wait(priority, is_late)
         if max(allowed_at, now + expected_s) > until:
-            raise self._refusal(wish)
-        return await self._wait_for(line, wish, line.add(priority, is_late, until))
+            raise self._build_refusal(requirements)
+        return await self._wait_for(line, requirements, line.add(priority, is_late, until))
 
-    def end(self, claim: InFlightRequest) -> None:
+    def release(self, claim: InFlightRequest) -> None:
         """Give back the room of a request that is over, to whoever waits for it."""
         self._pool.end(claim)
         lease = self._leases.pop(id(claim), None)
@@ -108,31 +108,35 @@
         self.advance(claim.load.entry.service)
 
     async def _claim_slot(
-        self, wish: TargetRequirements, priority: int, is_late: bool, until: float
+        self, requirements: TargetRequirements, priority: int, is_late: bool, until: float
     ) -> InFlightRequest:
         """Return a slot that an agent gives."""
         began = _now()
-        rank = max(0, priority - FIRST_PRIORITY)
-        slot_wish = SlotRequest(rank, is_late, until - began, wish.prefill_s, wish.suspect)
+        rank = max(0, priority - RETRY_PRIORITY)
+        slot_request = SlotRequest(
+            rank, is_late, until - began, requirements.prefill_s, requirements.suspect
+        )
         search = SlotSearch(
             self._ask_slot,
-            lambda asked: self._pool.choose_for_slot(self._pool.eligible(wish), _now(), asked),
-            slot_wish,
+            lambda asked: self._pool.choose_for_slot(
+                self._pool.eligible(requirements), _now(), asked
+            ),
+            slot_request,
             arrived_at=began,
         )
-        lease = await self._find_allowed(search, until)
-        line = self._lines[wish.service]
-        if is_late and _now() - began > AT_ONCE_S:
+        lease = await self._find_permitted(search, until)
+        line = self._lines[requirements.service]
+        if is_late and _now() - began > IMMEDIATE_START_S:
             line.note_late_outcome(started=lease is not None)
         if lease is None:
-            raise self._refusal(wish)
+            raise self._build_refusal(requirements)
         now = _now()
         self._wait.record(now - began)
-        claim = self._begin(line, lease.load, wish, now)
+        claim = self._begin(line, lease.load, requirements, now)
         self._leases[id(claim)] = lease
         return claim
 
-    async def _find_allowed(self, search: SlotSearch, until: float) -> Lease | None:
+    async def _find_permitted(self, search: SlotSearch, until: float) -> Lease | None:
         """Return a slot of a target that still takes one more request of this entry.
 
         While this one waited in line the target may have begun to leave, or others of this entry
@@ -148,53 +152,53 @@
         finally:
             self._searches.discard(search)
 
-    def leave_closed(self) -> None:
+    def drop_closed_targets(self) -> None:
         """Have no request wait any longer for targets to which none may be sent."""
         now = _now()
         for search in self._searches:
-            search.leave_where(lambda load: not self._pool.may_send(load, now))
+            search.withdraw_where(lambda load: not self._pool.may_send(load, now))
         for line in self._lines.values():
-            self._refuse_hopeless(line, now)
+            self._refuse_unservable(line, now)
 
-    def _refuse_hopeless(self, line: WaitQueue, now: float) -> None:
+    def _refuse_unservable(self, line: WaitQueue, now: float) -> None:
         """Refuse at once what waits for targets of which none takes it in its time."""
         for waiter in list(line.in_order()):
-            waiting = self._waiting.get(id(waiter))
+            waiting = self._waiting_requests.get(id(waiter))
             if waiting is None or waiting.found.done():
                 continue
-            if self._opens_at(waiting.wish, now) > waiter.until:
-                waiting.found.set_exception(self._refusal(waiting.wish))
+            if self._next_open_at(waiting.requirements, now) > waiter.until:
+                waiting.found.set_exception(self._build_refusal(waiting.requirements))
                 line.remove(waiter)
 
-    def _opens_at(self, wish: TargetRequirements, now: float) -> float:
+    def _next_open_at(self, requirements: TargetRequirements, now: float) -> float:
         """Return when the first target may be sent a request, as far as is known."""
-        fitting = self._pool.eligible(wish)
+        fitting = self._pool.eligible(requirements)
         return min((load.allowed_at(now) for load in fitting), default=math.inf)
 
-    def _refusal(self, wish: TargetRequirements) -> RequestRefused:
+    def _build_refusal(self, requirements: TargetRequirements) -> RequestRefused:
         """Return why a request is refused and when to return, spread out: not as a second burst."""
-        if not self._pool.eligible(wish):
-            reason = f"no target of {wish.service} may run the request"
-            return NoTarget(reason, retry_after_ms=_draw_ms(ABSENT_RETURN_S))
+        if not self._pool.eligible(requirements):
+            reason = f"no target of {requirements.service} may run the request"
+            return NoTarget(reason, retry_after_ms=_draw_ms(NO_TARGET_RETRY_AFTER_S))
         now = _now()
-        opens_in_s = self._opens_at(wish, now) - now
+        opens_in_s = self._next_open_at(requirements, now) - now
         if 0 < opens_in_s < math.inf:
-            reason = f"the targets of {wish.service} take nothing for now"
-            between_s = (opens_in_s, opens_in_s + OPENING_SPREAD_S)
+            reason = f"the targets of {requirements.service} take nothing for now"
+            between_s = (opens_in_s, opens_in_s + REOPEN_SPREAD_S)
             return Overloaded(reason, retry_after_ms=_draw_ms(between_s))
-        reason = f"the targets of {wish.service} are full"
-        return Overloaded(reason, retry_after_ms=_draw_ms(RETURN_S))
+        reason = f"the targets of {requirements.service} are full"
+        return Overloaded(reason, retry_after_ms=_draw_ms(FULL_RETRY_AFTER_S))
 
     def late_share(self, service: ServiceName) -> float:
         """Return the share of late requests for a service that started lately."""
         return self._lines[service].late_share
 
     async def _wait_for(
-        self, line: WaitQueue, wish: TargetRequirements, waiter: Waiter
+        self, line: WaitQueue, requirements: TargetRequirements, waiter: Waiter
     ) -> InFlightRequest:
         joined_at = _now()
         found = asyncio.get_running_loop().create_future()
-        self._waiting[id(waiter)] = _Waiting(wish, found)
+        self._waiting_requests[id(waiter)] = _WaitingRequest(requirements, found)
         try:
             async with asyncio.timeout_at(waiter.until):
                 claim: InFlightRequest = await found
@@ -203,14 +207,14 @@
                 self._pool.end(found.result())
             if waiter.is_late:
                 line.note_late_outcome(started=False)
-            raise self._refusal(wish) from None
+            raise self._build_refusal(requirements) from None
         except asyncio.CancelledError:
             if found.done() and not found.cancelled():
                 self._pool.end(found.result())
             raise
         finally:
             line.remove(waiter)
-            self._waiting.pop(id(waiter), None)
+            self._waiting_requests.pop(id(waiter), None)
         self._wait.record(_now() - joined_at)
         if waiter.is_late:
             line.note_late_outcome(started=True)
@@ -223,21 +227,21 @@
             return
         now = _now()
         for waiter in list(line.in_order()):
-            waiting = self._waiting.get(id(waiter))
+            waiting = self._waiting_requests.get(id(waiter))
             if waiting is None or waiting.found.done():
                 continue
-            fitting = self._pool.eligible(waiting.wish)
+            fitting = self._pool.eligible(waiting.requirements)
             load = self._pool.choose(fitting, now, waiter.is_late)
             if load is None:
                 return
-            waiting.found.set_result(self._begin(line, load, waiting.wish, now))
+            waiting.found.set_result(self._begin(line, load, waiting.requirements, now))
             line.remove(waiter)
 
     def _begin(
-        self, line: WaitQueue, load: TargetLoad, wish: TargetRequirements, now: float
+        self, line: WaitQueue, load: TargetLoad, requirements: TargetRequirements, now: float
     ) -> InFlightRequest:
         line.note_start(now)
-        return self._pool.begin(load, now, wish.prefill_s)
+        return self._pool.begin(load, now, requirements.prefill_s)
 
     async def _run(self) -> None:
         look_at = 0.0
@@ -246,7 +250,7 @@
             for service in list(self._lines):
                 self.advance(service)
             if _now() >= look_at:
-                look_at = _now() + LOOK_S
+                look_at = _now() + REACH_CHECK_S
                 self._log_reach()
 
     def _log_reach(self) -> None:
--- a/src/lacewinggw/frontend/entryupdates.py
+++ b/src/lacewinggw/frontend/entryupdates.py
@@ -12,7 +12,7 @@
 from lacewinggw.wire.packing import pack_routes, split_parts
 
 MS_PER_S = 1000.0
-LONGEST_AGE_S = 3600.0  # of knowledge that was never proved
+MAX_AGE_S = 3600.0  # of knowledge that was never proved
 
 
 def compose_entry_update(
@@ -33,8 +33,8 @@
         caller_address=caller_address,
         ready=ready,
         routes_version=routes.version if routes else 0,
-        routes_age_ms=_to_told_ms(knowledge.routes_age_s(now)),
-        routes_seen_age_ms=_to_told_ms(knowledge.routes_observed_age_s(now)),
+        routes_age_ms=_to_age_ms(knowledge.routes_age_s(now)),
+        routes_seen_age_ms=_to_age_ms(knowledge.routes_observed_age_s(now)),
         leaving=sorted(knowledge.leaving & knowledge.targets.keys()),
         named=[
             messages.NamedModelVersion(
@@ -44,7 +44,7 @@
         ],
         routes_position=routes_position.revision,
         store_era=routes_position.era,
-        targets_age_ms=_to_told_ms(targets_age_s),
+        targets_age_ms=_to_age_ms(targets_age_s),
         targets_digest=digest_targets(knowledge),
         limits=list(limits),
     )
@@ -57,8 +57,8 @@
     return xxhash.xxh3_64_intdigest("\n".join(lines).encode()) >> 1  # fits a signed number
 
 
-def _to_told_ms(age_s: float) -> int:
-    return math.ceil(min(age_s, LONGEST_AGE_S) * MS_PER_S)
+def _to_age_ms(age_s: float) -> int:
+    return math.ceil(min(age_s, MAX_AGE_S) * MS_PER_S)
 
 
 class PackedRoutes:
--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -21,7 +21,7 @@
 from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.storeposition import NO_POSITION, StorePosition
 from lacewinggw.errors import LacewingError, ProtocolViolation, TimedOut
-from lacewinggw.frontend.vouching import MS_PER_S, take_answer
+from lacewinggw.frontend.freshness import MS_PER_S, apply_answer
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import HostId
 from lacewinggw.log import get_logger
@@ -31,7 +31,7 @@
 
 # Until the next part comes. A limit for the whole would cut copies off over a full border and have
 # them begun anew without end.
-PART_S = 0.8
+PART_TIMEOUT_S = 0.8
 LANE = "routes"  # a connection of its own, so that no short answer waits behind routes
 
 log = get_logger(__name__)
@@ -54,7 +54,7 @@
         decode: DecodeRoutes,
         others: Callable[[], Iterable[PeerEntry]],
         on_fetching: Callable[[], None],
-        on_taken: Callable[[StorePosition], None],
+        on_fetched: Callable[[StorePosition], None],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -64,12 +64,12 @@
         self._decode = decode
         self._others = others
         self._on_fetching = on_fetching
-        self._on_taken = on_taken
+        self._on_fetched = on_fetched
         self._clock = clock
         self._fetched = metrics.counter("routes_fetches", outcome="fetched")
         self._failed = metrics.counter("routes_fetches", outcome="failed")
         self._holders: dict[HostId, tuple[PeerEntry, messages.EntryUpdate]] = {}
-        self._heard_version = 0
+        self._announced_version = 0
         self._wake = asyncio.Event()
         self._near_holder = asyncio.Event()
         self._is_fetching = False
@@ -92,8 +92,8 @@
         """Note what an entry says that it knows; the age of it counts only when it was asked."""
         if not self._is_newer(update):
             return
-        if update.routes_version > self._heard_version:
-            self._heard_version = update.routes_version
+        if update.routes_version > self._announced_version:
+            self._announced_version = update.routes_version
             log.info("routes_heard_of", version=update.routes_version, entry=entry.host)
         self._knowledge.confirm_version(update.routes_version)
         self._holders[entry.host] = (entry, update)
@@ -104,9 +104,9 @@
     def _is_newer(self, update: messages.EntryUpdate) -> bool:
         if self._has_newer_routes(update):
             return True
-        return not self._knows_named(each for each in update.named if not each.is_guess)
+        return not self._has_versions(each for each in update.named if not each.is_guess)
 
-    def _knows_named(self, named: Iterable[messages.NamedModelVersion]) -> bool:
+    def _has_versions(self, named: Iterable[messages.NamedModelVersion]) -> bool:
         known = {(model, due.version) for model, due in self._knowledge.all_required_versions}
         return all((each.model, each.version) in known for each in named)
 
@@ -171,12 +171,12 @@
         sent_at = self._clock()
         link: PeerLink | None = None
         try:
-            async with asyncio.timeout(PART_S):
+            async with asyncio.timeout(PART_TIMEOUT_S):
                 link = await self._node.link(entry.address, LANE)
             packed, update = await _receive(link.open(question))
-            take_answer(self._knowledge, update, sent_at)
+            apply_answer(self._knowledge, update, sent_at)
             if packed:
-                self._take_routes(packed, update, entry, sent_at)
+                self._apply_routes(packed, update, entry, sent_at)
         except (LacewingError, TimeoutError, OSError) as error:
             self._failed.add()
             log.info("routes_not_fetched", entry=entry.host, error=error)
@@ -186,7 +186,7 @@
         self._fetched.add()
         return True
 
-    def _take_routes(
+    def _apply_routes(
         self, packed: bytes, update: messages.EntryUpdate, entry: PeerEntry, sent_at: float
     ) -> None:
         table = self._decode(unpack_routes(packed))
@@ -201,9 +201,9 @@
             bytes=len(packed),
             age_ms=round((self._clock() - sent_at) * MS_PER_S) + update.routes_age_ms,
         )
-        knows_all = self._knows_named(update.named)
+        knows_all = self._has_versions(update.named)
         position = StorePosition(update.store_era, update.routes_position)
-        self._on_taken(position if knows_all else NO_POSITION)
+        self._on_fetched(position if knows_all else NO_POSITION)
 
 
 async def _receive(call: OutgoingCall) -> tuple[bytes, messages.EntryUpdate]:
@@ -213,7 +213,7 @@
     replies = call.replies()
     try:
         while True:
-            async with asyncio.timeout(PART_S):
+            async with asyncio.timeout(PART_TIMEOUT_S):
                 message = await anext(replies)
             match message:
                 case messages.RoutesPart(data=data):
--- a/src/lacewinggw/frontend/vouching.py
+++ b/src/lacewinggw/frontend/freshness.py
@@ -20,7 +20,7 @@
 from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetlist import DueVersion
 from lacewinggw.errors import LacewingError
-from lacewinggw.frontend.departures import Departures, LeavingSource
+from lacewinggw.frontend.leavingtargets import LeavingSource, LeavingTargets
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import ModelName, TargetId
 from lacewinggw.log import get_logger
@@ -28,16 +28,16 @@
 from lacewinggw.wire.peers import PeerNode
 from lacewinggw.wire.soundness import require_sound
 
-ASK_S = 0.8  # between questions: an age then stays within the reader's wait and this
-ANSWER_S = 0.5  # between regions an answer takes some ms, over a full link some 100
+CHECK_INTERVAL_S = 0.8  # between questions: an age then stays within the reader's wait and this
+ANSWER_TIMEOUT_S = 0.5  # between regions an answer takes some ms, over a full link some 100
 MS_PER_S = 1000.0
 
 log = get_logger(__name__)
 
-Heard = Callable[[PeerEntry, messages.EntryUpdate], None]
+OnAnswer = Callable[[PeerEntry, messages.EntryUpdate], None]
 
 
-def take_answer(knowledge: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
+def apply_answer(knowledge: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
     """Take what another entry answered to a question that was sent at a moment.
 
     Who has just started counts versions that it finds named as older than they may be. Such a guess
@@ -62,7 +62,7 @@
     )
 
 
-class Voucher:
+class FreshnessChecker:
     """Asks other entries how old their routes are; `on_heard` is told of each answer."""
 
     def __init__(
@@ -70,18 +70,18 @@
         node: PeerNode,
         me: LocalEntry,
         knowledge: RoutingView,
-        departures: Departures,
+        leaving_targets: LeavingTargets,
         others: Callable[[], Iterable[PeerEntry]],
-        on_heard: Heard,
+        on_answer: OnAnswer,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self._node = node
         self._me = me
         self._knowledge = knowledge
-        self._departures = departures
+        self._leaving_targets = leaving_targets
         self._others = others
-        self._on_heard = on_heard
+        self._on_answer = on_answer
         self._clock = clock
         self._answers = metrics.counter("vouching", outcome="answered")
         self._failures = metrics.counter("vouching", outcome="failed")
@@ -97,14 +97,14 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ASK_S)
-            if self._knows_enough:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            if self._is_up_to_date:
                 continue
             asked = choose_peers_to_query(self._me, self._others())
             await asyncio.gather(*(self._ask(entry) for entry in asked))
 
     @property
-    def _knows_enough(self) -> bool:
+    def _is_up_to_date(self) -> bool:
         """Whether this entry reads the store for its place, and the store answers it."""
         fresh = self._knowledge.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
         return fresh and is_route_reader(self._me, self._others())
@@ -114,13 +114,13 @@
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=False)
         sent_at = self._clock()
         try:
-            link = await asyncio.wait_for(self._node.link(entry.address), ANSWER_S)
-            update = await link.call(question, ANSWER_S)
-            take_answer(self._knowledge, update, sent_at)
+            link = await asyncio.wait_for(self._node.link(entry.address), ANSWER_TIMEOUT_S)
+            update = await link.call(question, ANSWER_TIMEOUT_S)
+            apply_answer(self._knowledge, update, sent_at)
         except (LacewingError, TimeoutError, OSError) as error:
             self._failures.add()
             log.debug("entry_did_not_vouch", entry=entry.host, error=error)
             return
-        self._departures.note_known(LeavingSource.ENTRY)
+        self._leaving_targets.publish_new(LeavingSource.ENTRY)
         self._answers.add()
-        self._on_heard(entry, update)
+        self._on_answer(entry, update)
--- a/src/lacewinggw/frontend/departures.py
+++ b/src/lacewinggw/frontend/leavingtargets.py
@@ -23,10 +23,10 @@
 
 # What came from another entry, or from an agent that tells all entries near, goes on with the usual
 # updates: if each entry passed it on at once, all would tell all others of each target that leaves.
-TOLD_AT_ONCE = frozenset({LeavingSource.LIST, LeavingSource.ANSWER, LeavingSource.ADDRESS})
+URGENT_SOURCES = frozenset({LeavingSource.LIST, LeavingSource.ANSWER, LeavingSource.ADDRESS})
 
 
-class Departures:
+class LeavingTargets:
     """Notes which targets leave, in the knowledge of this entry.
 
     `on_leaving` is called whenever there are new ones, `on_urgent` when other entries are to be
@@ -50,14 +50,14 @@
             source: metrics.counter("targets_left", source=source.value) for source in LeavingSource
         }
 
-    def note(self, target: TargetId, source: LeavingSource) -> None:
+    def mark_leaving(self, target: TargetId, source: LeavingSource) -> None:
         """Note that a target takes no new work."""
         if target in self._knowledge.leaving:
             return
         self._knowledge.mark_leaving(target)
-        self.note_known(source)
+        self.publish_new(source)
 
-    def note_known(self, source: LeavingSource) -> None:
+    def publish_new(self, source: LeavingSource) -> None:
         """Log and pass on what the knowledge has just taken from a source."""
         leaving = frozenset(self._knowledge.leaving)
         new = leaving - self._logged
@@ -68,5 +68,5 @@
         if not new:
             return
         self._on_leaving()
-        if source in TOLD_AT_ONCE:
+        if source in URGENT_SOURCES:
             self._on_urgent()
--- a/src/lacewinggw/frontend/neighbours.py
+++ b/src/lacewinggw/frontend/neighbours.py
@@ -18,13 +18,15 @@
 from lacewinggw.ids import Address, HostId, Place
 from lacewinggw.wire.peers import PeerLink, PeerNode
 
-UPDATE_S = 0.5  # between updates without a change
-READY_S = 1.6  # updates older than three of these intervals say nothing: the entry may be gone
+UPDATE_INTERVAL_S = 0.5  # between updates without a change
+MAX_UPDATE_AGE_S = (
+    1.6  # updates older than three of these intervals say nothing: the entry may be gone
+)
 MS_PER_S = 1000
 
 
 @dataclass
-class _Heard:
+class _ReceivedUpdate:
     """The last update of an entry."""
 
     place: Place
@@ -33,12 +35,12 @@
     at: float
 
 
-def _known(host: HostId, heard: _Heard, now: float) -> PeerEntry:
-    update, since_s = heard.update, now - heard.at
+def _to_known_entry(host: HostId, received: _ReceivedUpdate, now: float) -> PeerEntry:
+    update, since_s = received.update, now - received.at
     return PeerEntry(
         host,
-        heard.place,
-        heard.address,
+        received.place,
+        received.address,
         routes_age_s=update.routes_seen_age_ms / MS_PER_S + since_s,
         targets_age_s=update.targets_age_ms / MS_PER_S + since_s,
         targets_digest=update.targets_digest,
@@ -59,7 +61,7 @@
         place: Place,
         compose: Callable[[], messages.EntryUpdate],
         on_update: Callable[[PeerEntry, messages.EntryUpdate], None],
-        greet: Callable[[], messages.CrashUpdate | None],
+        compose_initial: Callable[[], messages.CrashUpdate | None],
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -68,12 +70,12 @@
         self._place = place
         self._compose = compose
         self._on_update = on_update
-        self._greet = greet
+        self._compose_initial = compose_initial
         self._clock = clock
-        self._heard: dict[HostId, _Heard] = {}
-        self._listeners: set[PeerLink] = set()
+        self._received: dict[HostId, _ReceivedUpdate] = {}
+        self._subscribers: set[PeerLink] = set()
         self._has_members = False
-        self._listening_back: set[WatchedAgent] = set()
+        self._reverse_watches: set[WatchedAgent] = set()
         self._watches = AgentWatches(node, me, lambda host: None, rng)
         self._changed = asyncio.Event()
         self._loop = Background("entry news", self._run)
@@ -101,25 +103,25 @@
             per_place[member.place] = count + 1
             wanted.add(WatchedAgent(member.host, member.address))
         self._has_members = bool(wanted)
-        self._watches.set_targets(wanted or self._listening_back)
+        self._watches.set_targets(wanted or self._reverse_watches)
 
-    def note_change(self) -> None:
+    def schedule_update(self) -> None:
         """Tell the others soon: what this entry tells has changed."""
         self._changed.set()
 
-    def take_watch(self, link: PeerLink, watch: messages.Watch) -> None:
+    def apply_watch(self, link: PeerLink, watch: messages.Watch) -> None:
         """Send updates over a link from now on, some at once, or stop."""
         if watch.stop:
-            self._listeners.discard(link)
+            self._subscribers.discard(link)
             return
-        self._listeners.add(link)
+        self._subscribers.add(link)
         link.notify(self._compose())
-        greeting = self._greet()
-        if greeting is not None:
-            link.notify(greeting)
-        self._listen_back(link)
+        initial = self._compose_initial()
+        if initial is not None:
+            link.notify(initial)
+        self._subscribe_back(link)
 
-    def _listen_back(self, link: PeerLink) -> None:
+    def _subscribe_back(self, link: PeerLink) -> None:
         """Listen to whoever listens here, while the store has told of nobody.
 
         An entry that starts while the store turns it away has no list of the others; they have it
@@ -127,48 +129,50 @@
         """
         if self._has_members:
             return
-        self._listening_back.add(
+        self._reverse_watches.add(
             WatchedAgent(HostId(link.remote.host), Address(link.remote.address))
         )
-        self._watches.set_targets(self._listening_back)
+        self._watches.set_targets(self._reverse_watches)
 
     def apply_update(self, link: PeerLink, update: messages.EntryUpdate) -> None:
         """Take the update of another entry."""
         remote = link.remote
-        heard = _Heard(Place(remote.place), Address(remote.address), update, self._clock())
-        self._heard[HostId(remote.host)] = heard
-        self._on_update(_known(HostId(remote.host), heard, heard.at), update)
+        received = _ReceivedUpdate(
+            Place(remote.place), Address(remote.address), update, self._clock()
+        )
+        self._received[HostId(remote.host)] = received
+        self._on_update(_to_known_entry(HostId(remote.host), received, received.at), update)
 
-    def tell(self, update: messages.CrashUpdate | messages.EntryUpdate) -> None:
+    def broadcast(self, update: messages.CrashUpdate | messages.EntryUpdate) -> None:
         """Send something to all entries that listen."""
-        self._listeners = {link for link in self._listeners if not link.closed.is_set()}
-        self._node.notify_all(self._listeners, update)
+        self._subscribers = {link for link in self._subscribers if not link.closed.is_set()}
+        self._node.notify_all(self._subscribers, update)
 
-    def ready(self) -> Sequence[ReadyEntry]:
+    def ready_entries(self) -> Sequence[ReadyEntry]:
         """Return the other entries that are ready, by updates that are fresh."""
         now = self._clock()
         return [
-            ReadyEntry(host, heard.place, Address(heard.update.caller_address))
-            for host, heard in self._heard.items()
-            if heard.update.ready and now - heard.at < READY_S
+            ReadyEntry(host, received.place, Address(received.update.caller_address))
+            for host, received in self._received.items()
+            if received.update.ready and now - received.at < MAX_UPDATE_AGE_S
         ]
 
-    def known(self) -> Sequence[PeerEntry]:
+    def active_entries(self) -> Sequence[PeerEntry]:
         """Return the other entries that were heard lately."""
         now = self._clock()
         return [
-            _known(host, heard, now)
-            for host, heard in self._heard.items()
-            if now - heard.at < READY_S
+            _to_known_entry(host, received, now)
+            for host, received in self._received.items()
+            if now - received.at < MAX_UPDATE_AGE_S
         ]
 
     async def _run(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(UPDATE_S):
+                async with asyncio.timeout(UPDATE_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 pass
             self._changed.clear()
-            if self._listeners:
-                self.tell(self._compose())
+            if self._subscribers:
+                self.broadcast(self._compose())
--- a/src/lacewinggw/frontend/offers.py
+++ b/src/lacewinggw/frontend/offers.py
@@ -18,13 +18,13 @@
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.errors import AnswerIncomplete
-from lacewinggw.frontend.admission import Admitted
+from lacewinggw.frontend.admission import AdmittedRequest
 from lacewinggw.frontend.calls import (
-    USUAL_URGENCY,
+    DEFAULT_URGENCY,
     AnswerFacts,
     CallCodec,
-    Dispatch,
-    pass_on,
+    DispatchFacts,
+    end_to_end_headers,
 )
 from lacewinggw.frontend.targetanswers import TargetAnswers
 from lacewinggw.wire.events import EventSplitter, StreamEvent
@@ -36,8 +36,10 @@
     StreamedResponse,
 )
 
-CONNECT_S = 0.25  # it takes some ms; over a link with a queue of a second nothing is to be sent
-WHOLE_LIMIT_BYTES = 16 << 20  # of an answer that is held until it is whole
+CONNECT_TIMEOUT_S = (
+    0.25  # it takes some ms; over a link with a queue of a second nothing is to be sent
+)
+BODY_LIMIT_BYTES = 16 << 20  # of an answer that is held until it is whole
 OK = 200
 BUSY = 503  # what a target without room answers
 FIRST_ERROR = 400
@@ -48,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class NotRun:
+class NotExecuted:
     """The target did not run the request, and proved it.
 
     `full` where it had no room, `is_gone` where another target answers at its address by now; it
@@ -56,18 +58,18 @@
     """
 
     reason: str
-    full: bool = False
-    is_gone: bool = False
-    arrived: bool = True
+    is_full: bool = False
+    is_replaced: bool = False
+    has_reached_target: bool = True
     is_closed: bool = False
 
 
 @dataclass(frozen=True)
-class Lost:
+class OutcomeUnknown:
     """The request may have run; there is no answer. `silent` where none came in time."""
 
     reason: str
-    silent: bool = False
+    has_timed_out: bool = False
 
 
 @dataclass(frozen=True)
@@ -90,20 +92,20 @@
 
 
 @dataclass(frozen=True)
-class Sending:
+class OfferOptions:
     """What differs from one offer of a request to the next."""
 
     version: int | None = None
     resume_after: int | None = None
-    urgency: int = USUAL_URGENCY
+    urgency: int = DEFAULT_URGENCY
 
 
 @dataclass(frozen=True)
-class OfferLimits:
+class OfferTimeouts:
     """How long to wait, in seconds: for the head of the answer, and between parts of its body."""
 
-    begin_s: float
-    silence_s: float
+    head_s: float
+    idle_s: float
 
 
 class Offers:
@@ -122,67 +124,77 @@
         self._answers = answers
 
     async def send(
-        self, job: Admitted, load: TargetLoad, sending: Sending, limits: OfferLimits
-    ) -> Answer | NotRun | Lost:
+        self,
+        admitted: AdmittedRequest,
+        load: TargetLoad,
+        options: OfferOptions,
+        timeouts: OfferTimeouts,
+    ) -> Answer | NotExecuted | OutcomeUnknown:
         """Offer the request; return once the head of the answer is there, or will not come."""
         now = asyncio.get_running_loop().time()
-        dispatch = Dispatch(
+        dispatch = DispatchFacts(
             target=load.entry.name,
-            account=job.account.name if job.account else None,
-            time_left_ms=max(1, time_left_ms(job.deadline, now)),
-            urgency=sending.urgency,
-            version=sending.version,
-            resume_after=sending.resume_after,
+            account=admitted.account.name if admitted.account else None,
+            time_left_ms=max(1, time_left_ms(admitted.deadline, now)),
+            urgency=options.urgency,
+            version=options.version,
+            resume_after=options.resume_after,
         )
-        headers = self._codec.write_call(pass_on(job.call.headers), dispatch)
+        headers = self._codec.write_call(end_to_end_headers(admitted.call.headers), dispatch)
         asked_at = self._answers.read_clock()
         try:
             response = await self._http.stream(
                 load.entry.address,
-                job.call.method,
-                job.call.target,
+                admitted.call.method,
+                admitted.call.target,
                 headers,
-                job.call.body,
-                limits.silence_s,
-                CONNECT_S,
-                limits.begin_s,
-                lambda took_s: self._note_connected(load, took_s, now + took_s),
+                admitted.call.body,
+                timeouts.idle_s,
+                CONNECT_TIMEOUT_S,
+                timeouts.head_s,
+                lambda took_s: self._check_open(load, took_s, now + took_s),
             )
         except _TargetClosed:
-            return NotRun("the target takes nothing any more", arrived=False, is_closed=True)
+            return NotExecuted(
+                "the target takes nothing any more", has_reached_target=False, is_closed=True
+            )
         except NotConnectedError as error:
             ended_at = asyncio.get_running_loop().time()
             load.note_connect_failure(ended_at - now, ended_at)
-            return NotRun(f"cannot connect: {error}", arrived=False)
+            return NotExecuted(f"cannot connect: {error}", has_reached_target=False)
         except TimeoutError:
-            return Lost("no answer in time", silent=True)
+            return OutcomeUnknown("no answer in time", has_timed_out=True)
         except (OSError, HttpError) as error:
-            return Lost(f"no answer: {error}")
-        return await self._sort(job, load, response, asked_at)
+            return OutcomeUnknown(f"no answer: {error}")
+        return await self._classify(admitted, load, response, asked_at)
 
-    def _note_connected(self, load: TargetLoad, took_s: float, now: float) -> None:
+    def _check_open(self, load: TargetLoad, took_s: float, now: float) -> None:
         """Look once more whether the request may be sent, now that it could be."""
         load.note_connect(took_s, now)
         if not self._pool.may_send(load, now):
             raise _TargetClosed
 
-    async def _sort(
-        self, job: Admitted, load: TargetLoad, response: StreamedResponse, asked_at: float
-    ) -> Answer | NotRun | Lost:
+    async def _classify(
+        self,
+        admitted: AdmittedRequest,
+        load: TargetLoad,
+        response: StreamedResponse,
+        asked_at: float,
+    ) -> Answer | NotExecuted | OutcomeUnknown:
         load.note_data(asyncio.get_running_loop().time())
         facts = self._codec.read_answer(response.status, response.headers)
-        if facts.call_id not in (None, job.facts.call_id):
+        if facts.call_id not in (None, admitted.facts.call_id):
             await response.aclose()
-            return Lost("the answer belongs to another request")
+            return OutcomeUnknown("the answer belongs to another request")
         is_gone = facts.answered_by not in (None, load.entry.name)
         if not is_gone:
-            self._answers.note(load, facts, asked_at)
+            self._answers.apply_facts(load, facts, asked_at)
         if facts.not_run:
             await response.aclose()
-            return NotRun(
+            return NotExecuted(
                 f"the target answered {response.status}",
-                full=response.status == BUSY,
-                is_gone=is_gone,
+                is_full=response.status == BUSY,
+                is_replaced=is_gone,
             )
         return Answer(response.status, response.headers, facts, response)
 
@@ -190,7 +202,7 @@
 async def read_whole(answer: Answer) -> bytes:
     """Return the body of an answer; raise `AnswerIncomplete` when it breaks off."""
     try:
-        return await answer.response.read(WHOLE_LIMIT_BYTES)
+        return await answer.response.read(BODY_LIMIT_BYTES)
     except (OSError, HttpError, TimeoutError) as error:
         raise AnswerIncomplete(f"the answer broke off: {error}") from error
     finally:
--- a/src/lacewinggw/frontend/process.py
+++ b/src/lacewinggw/frontend/process.py
@@ -22,22 +22,22 @@
 from lacewinggw.fleet.running import run_process
 from lacewinggw.frontend.agents import AgentLinks
 from lacewinggw.frontend.agentslots import AgentSlots
-from lacewinggw.frontend.callers import Caller, CallerListener
+from lacewinggw.frontend.callers import CallerConnection, CallerListener
 from lacewinggw.frontend.calls import Call, CallCodec
-from lacewinggw.frontend.crashes import CrashWatch
-from lacewinggw.frontend.departures import Departures, LeavingSource
+from lacewinggw.frontend.crashes import CrashMonitor
+from lacewinggw.frontend.dispatchqueue import DispatchQueue
 from lacewinggw.frontend.entryupdates import PackedRoutes, compose_entry_update
 from lacewinggw.frontend.fetching import DecodeRoutes, RoutesFetcher
+from lacewinggw.frontend.freshness import FreshnessChecker
+from lacewinggw.frontend.leavingtargets import LeavingSource, LeavingTargets
 from lacewinggw.frontend.neighbours import EntryNeighbours
 from lacewinggw.frontend.offers import Offers
-from lacewinggw.frontend.placing import Placing, RetryLimits
-from lacewinggw.frontend.queue import RequestQueue
-from lacewinggw.frontend.reading import ReadingDuties
-from lacewinggw.frontend.relay import Relay, RelayParts
-from lacewinggw.frontend.sight import Sight
+from lacewinggw.frontend.readpolicy import StoreReadPolicy
+from lacewinggw.frontend.relay import RelayDependencies, RequestRelay
+from lacewinggw.frontend.requestplacer import RequestPlacer, RetryLimits
+from lacewinggw.frontend.storefollower import StoreFollower
 from lacewinggw.frontend.targetanswers import TargetAnswers
 from lacewinggw.frontend.targetrates import TargetRates
-from lacewinggw.frontend.vouching import Voucher
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.settings.ttypes import Settings
 from lacewinggw.health import Health, Readiness
@@ -53,9 +53,11 @@
 
 MS_PER_S = 1000.0
 PERCENT = 100.0
-EXTRA_SHARE = 0.8  # of the fleet's extra retries: entries may count one another wrongly for a while
+EXTRA_RETRIES_SHARE = (
+    0.8  # of the fleet's extra retries: entries may count one another wrongly for a while
+)
 ACCEPT_WHILE_LEAVING_S = 2.5  # callers that hold an old answer still come
-LAST_MARGIN_S = 0.7  # before the kill, for what is left to be closed in order
+CLOSE_MARGIN_S = 0.7  # before the kill, for what is left to be closed in order
 
 log = get_logger(__name__)
 
@@ -104,27 +106,27 @@
         self._host = HostId(process.host)
         self._place = Place(process.place)
         self._me = LocalEntry(self._host, self._place)
-        self._leaving = False
+        self._is_leaving = False
         self._packed_routes = PackedRoutes(self.knowledge)
         self.incarnation = new_incarnation(rng)
         identity = Identity(process.host, messages.Role.ENTRY, process.place, self.incarnation)
         self._node = PeerNode(
-            network, identity, process.fleet_key, self._handle, on_notice=self._take_notice
+            network, identity, process.fleet_key, self._handle, on_notice=self._handle_notice
         )
         self._neighbours = self._make_neighbours()
-        self._departures = Departures(
+        self._leaving_targets = LeavingTargets(
             self.knowledge,
-            lambda: self.queue.leave_closed(),
-            self._neighbours.note_change,
+            lambda: self.queue.drop_closed_targets(),
+            self._neighbours.schedule_update,
             self.metrics,
         )
         self._fetcher = self._make_fetcher()
-        self._voucher = self._make_voucher()
-        self._duties = ReadingDuties(
+        self._freshness = self._make_freshness_checker()
+        self._read_policy = StoreReadPolicy(
             self._me,
             self.knowledge,
-            self._neighbours.known,
-            self._listed,
+            self._neighbours.active_entries,
+            self._listed_entries,
             lambda: self._fetcher.is_fetching,
             clock,
         )
@@ -139,21 +141,21 @@
         self._answers = TargetAnswers(
             self.pool,
             self._rates,
-            self._departures,
-            lambda: self.queue.leave_closed(),
+            self._leaving_targets,
+            lambda: self.queue.drop_closed_targets(),
             self.metrics,
         )
         self._agents = self._make_agents()
-        self._sight = self._make_sight()
+        self._store = self._make_store_follower()
         slots = AgentSlots(self._node, self._agent_port)
-        self.queue = RequestQueue(self.pool, self.metrics, slots.ask)
+        self.queue = DispatchQueue(self.pool, self.metrics, slots.ask)
         self._http = HttpClient(network, idle_connections=0)
         self._crashes = self._make_crashes()
         self.relay = self._make_relay()
         self._callers = CallerListener(network, entry.caller_listen, self._serve, self._limits)
         self._servers = self._make_servers()
         self._announcer = Announcer(adapter.rows, self._member(), rng)
-        self._show_knowledge()
+        self._register_gauges()
 
     @classmethod
     def from_config(cls, settings: Settings, adapter: FrontendAdapter) -> "FrontendProcess":
@@ -163,8 +165,8 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers may be sent here."""
-        knows = self.knowledge.can_accept_keys(self._clock()) and self._sight.has_targets
-        return knows and not self._leaving
+        knows = self.knowledge.can_accept_keys(self._clock()) and self._store.has_targets
+        return knows and not self._is_leaving
 
     # ---- parts ----------------------------------------------------------------------------
 
@@ -180,7 +182,7 @@
             self._place,
             self._compose_update,
             self._apply_update,
-            lambda: self._crashes.latest(),
+            lambda: self._crashes.compose_full_update(),
             self._clock,
             self._rng,
         )
@@ -191,20 +193,20 @@
             self._me,
             self.knowledge,
             self._adapter.decode_routes,
-            self._neighbours.known,
-            lambda: self._sight.leave_routes(),
-            self._note_routes_taken,
+            self._neighbours.active_entries,
+            lambda: self._store.cancel_routes_read(),
+            self._on_routes_fetched,
             self._clock,
             self.metrics,
         )
 
-    def _make_voucher(self) -> Voucher:
-        return Voucher(
+    def _make_freshness_checker(self) -> FreshnessChecker:
+        return FreshnessChecker(
             self._node,
             self._me,
             self.knowledge,
-            self._departures,
-            self._neighbours.known,
+            self._leaving_targets,
+            self._neighbours.active_entries,
             self._fetcher.note_update,
             self._clock,
             self.metrics,
@@ -214,9 +216,9 @@
         return TargetRates(
             self.pool,
             self._me,
-            self._listed,
-            lambda: self._duties.is_reader,
-            self._neighbours.note_change,
+            self._listed_entries,
+            lambda: self._read_policy.is_reader,
+            self._neighbours.schedule_update,
             self._clock,
             self.metrics,
         )
@@ -229,44 +231,44 @@
             self._agent_port,
             self.knowledge,
             self.pool,
-            self._departures,
+            self._leaving_targets,
             self._ready_hosts,
             self._clock,
             self._rng,
         )
 
-    def _make_sight(self) -> Sight:
-        return Sight(
+    def _make_store_follower(self) -> StoreFollower:
+        return StoreFollower(
             self._adapter.feed,
             self.knowledge,
             self.pool,
             self._clock,
             self.metrics,
             self._rng,
-            self._duties.reads_often,
-            self._duties.reads_routes,
-            self._duties.is_list_vouched,
-            self._agents.note_change,
-            self._note_members,
-            self._departures,
-            self._neighbours.note_change,
-            lambda change: self._crashes.take_listed(change),
-            self._note_restored,
+            self._read_policy.is_frequent_reader,
+            self._read_policy.should_read_routes,
+            self._read_policy.is_list_confirmed,
+            self._agents.schedule_update,
+            self._on_members_changed,
+            self._leaving_targets,
+            self._neighbours.schedule_update,
+            lambda change: self._crashes.apply_store_change(change),
+            self._on_store_restored,
         )
 
-    def _make_crashes(self) -> CrashWatch:
-        return CrashWatch(
+    def _make_crashes(self) -> CrashMonitor:
+        return CrashMonitor(
             self._http,
             self._adapter.rows,
-            self._neighbours.tell,
-            lambda: self._duties.is_reader,
+            self._neighbours.broadcast,
+            lambda: self._read_policy.is_reader,
             self._clock,
             self.metrics,
             self._rng,
         )
 
-    def _make_relay(self) -> Relay:
-        placing = Placing(
+    def _make_relay(self) -> RequestRelay:
+        placing = RequestPlacer(
             self.knowledge,
             self.queue,
             self._clock,
@@ -274,19 +276,19 @@
             self._count_entries,
             self._crashes.is_suspect,
         )
-        return Relay(
-            RelayParts(
+        return RequestRelay(
+            RelayDependencies(
                 codec=self._adapter.codec,
                 knowledge=self.knowledge,
                 pool=self.pool,
                 queue=self.queue,
-                placing=placing,
+                placer=placing,
                 offers=Offers(self._http, self._adapter.codec, self.pool, self._answers),
                 crashes=self._crashes,
                 clock=self._clock,
                 metrics=self.metrics,
                 rng=self._rng,
-                departures=self._departures,
+                leaving_targets=self._leaving_targets,
             )
         )
 
@@ -304,37 +306,37 @@
 
     async def start(self) -> None:
         """Begin to follow the store, then to take callers."""
-        self._duties.note_start()
-        await self._sight.start()
+        self._read_policy.note_start()
+        await self._store.start()
         await self._node.start(self._settings.entry.peer_listen)
         for server in self._servers:
             await server.start()
         await self._callers.start()
         await self._neighbours.start()
-        await self._voucher.start()
+        await self._freshness.start()
         await self._fetcher.start()
-        await self._agents.start(self._sight)
+        await self._agents.start(self._store)
         await self.queue.start()
         await self._crashes.start()
         await self._announcer.start()
 
     async def drain(self) -> None:
         """Be ready no more, take callers that still come for a while, and end what is running."""
-        self._leaving = True
-        self._neighbours.note_change()
-        self._callers.leave()
+        self._is_leaving = True
+        self._neighbours.schedule_update()
+        self._callers.disable_keep_alive()
         await asyncio.sleep(ACCEPT_WHILE_LEAVING_S)
         grace_s = self._settings.fleet.grace_ms / MS_PER_S
-        await self._callers.close(grace_s - ACCEPT_WHILE_LEAVING_S - LAST_MARGIN_S)
+        await self._callers.close(grace_s - ACCEPT_WHILE_LEAVING_S - CLOSE_MARGIN_S)
 
     async def close(self) -> None:
         """Stop at once."""
         await self._callers.close()
         await self._announcer.close()
-        await self._sight.close()
+        await self._store.close()
         await self.queue.close()
         await self._crashes.close()
-        await self._voucher.close()
+        await self._freshness.close()
         await self._fetcher.close()
         await self._neighbours.close()
         await self._agents.close()
@@ -357,7 +359,7 @@
         fleet = self._settings.fleet
         return RetryLimits(
             share=fleet.retry_percent / PERCENT,
-            extra=EXTRA_SHARE * fleet.extra_retries,
+            extra=EXTRA_RETRIES_SHARE * fleet.extra_retries,
             window_s=fleet.retry_window_ms / MS_PER_S,
         )
 
@@ -370,7 +372,7 @@
         self._settings.entry.address_ttl_ms = settings.entry.address_ttl_ms
         self.knowledge.rules = knowledge_rules(settings)
 
-    def _show_knowledge(self) -> None:
+    def _register_gauges(self) -> None:
         knowledge, metrics = self.knowledge, self.metrics
         metrics.read_gauge("routes_age", lambda: knowledge.routes_age_s(self._clock()))
         metrics.read_gauge("targets_known", lambda: len(knowledge.targets))
@@ -380,7 +382,7 @@
 
     def _count_entries(self) -> int:
         """Return how many entries there are; 0 while that is not known."""
-        return len(self._sight.members)
+        return len(self._store.members)
 
     def _connections_of(self, service: ServiceName) -> float:
         """Return this entry's part of the connections that each target of a service takes.
@@ -394,34 +396,34 @@
         return max(1, declared.connection_limit // max(1, self._count_entries()))
 
     def _ready_hosts(self) -> Sequence[HostId]:
-        return [self._host, *(entry.host for entry in self._neighbours.ready())]
+        return [self._host, *(entry.host for entry in self._neighbours.ready_entries())]
 
-    def _listed(self) -> Sequence[PeerEntry] | None:
+    def _listed_entries(self) -> Sequence[PeerEntry] | None:
         """Return the entries that the store lists; None while the list is not here."""
-        if not self._sight.has_members:
+        if not self._store.has_members:
             return None
         return [
             PeerEntry(member.host, member.place, member.address)
-            for member in self._sight.members.values()
+            for member in self._store.members.values()
             if member.role is MemberRole.ENTRY
         ]
 
-    def _note_routes_taken(self, position: StorePosition) -> None:
+    def _on_routes_fetched(self, position: StorePosition) -> None:
         """Go on from what another entry knew, and hand it on in this place."""
-        self._sight.note_routes_taken(position)
-        self._agents.note_change()
-        if self._duties.is_reader:
-            self._neighbours.note_change()
+        self._store.advance_routes(position)
+        self._agents.schedule_update()
+        if self._read_policy.is_reader:
+            self._neighbours.schedule_update()
 
-    def _note_restored(self, keys: Set[str]) -> None:
+    def _on_store_restored(self, keys: Set[str]) -> None:
         """Write again what is ours and not in a store that came back from an older copy."""
         if self._host not in keys:
             self._announcer.announce_again()
-        self._crashes.write_again(keys)
+        self._crashes.rewrite_missing(keys)
 
-    def _note_members(self) -> None:
-        self._neighbours.set_members(self._sight.members.values())
-        self._rates.note_members()
+    def _on_members_changed(self) -> None:
+        self._neighbours.set_members(self._store.members.values())
+        self._rates.update_shares()
 
     def _readiness(self) -> Readiness:
         version = self.knowledge.routes.version if self.knowledge.routes else 0
@@ -433,7 +435,7 @@
     def _limits(self) -> CallerLimits:
         return self.knowledge.routes.limits if self.knowledge.routes else CallerLimits()
 
-    async def _serve(self, call: Call, caller: Caller) -> None:
+    async def _serve(self, call: Call, caller: CallerConnection) -> None:
         await self.relay.serve(call, caller)
 
     def _address_ttl_s(self) -> float:
@@ -441,7 +443,7 @@
 
     def resolve(self, domain: str, place: Place) -> Sequence[Address]:
         """Return the addresses at which a caller in `place` may ask."""
-        entries = list(self._neighbours.ready())
+        entries = list(self._neighbours.ready_entries())
         if self.is_ready:
             mine = self._member()
             entries.append(ReadyEntry(self._host, self._place, mine.caller_address))
@@ -457,10 +459,10 @@
                         exchange.reply(messages.RoutesPart(part))
                 exchange.finish(self._compose_update())
 
-    def _take_notice(self, link: PeerLink, message: Message) -> bool:
+    def _handle_notice(self, link: PeerLink, message: Message) -> bool:
         match message:
             case messages.Watch() as watch:
-                self._neighbours.take_watch(link, watch)
+                self._neighbours.apply_watch(link, watch)
             case messages.EntryUpdate() as update:
                 require_sound(update)
                 self._neighbours.apply_update(link, update)
@@ -473,8 +475,8 @@
     def _compose_update(self) -> messages.EntryUpdate:
         return compose_entry_update(
             self.knowledge,
-            self._sight.routes_position,
-            self._sight.targets_age(self._clock()),
+            self._store.routes_position,
+            self._store.targets_age(self._clock()),
             self._member().caller_address,
             self.is_ready,
             self._rates.compose_updates(),
@@ -483,9 +485,9 @@
 
     def _apply_update(self, entry: PeerEntry, update: messages.EntryUpdate) -> None:
         """Take what other entries push; the age of the routes counts only when it was asked for."""
-        self._sight.era.note(update.store_era)
+        self._store.era.note(update.store_era)
         for target in update.leaving:
-            self._departures.note(TargetId(target), LeavingSource.ENTRY)
+            self._leaving_targets.mark_leaving(TargetId(target), LeavingSource.ENTRY)
         self._rates.apply_updates(entry, update.limits)
         self._fetcher.note_update(entry, update)
 
--- a/src/lacewinggw/frontend/placing.py
+++ b/src/lacewinggw/frontend/requestplacer.py
@@ -12,21 +12,21 @@
 from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
 from lacewinggw.decisions.waitbudget import CallerTimeouts, WaitBudget, prefill_time, wait_budget
 from lacewinggw.errors import DeadlineTooNear
-from lacewinggw.frontend.admission import Admitted
-from lacewinggw.frontend.jobs import Job
-from lacewinggw.frontend.offers import OfferLimits, Sending
-from lacewinggw.frontend.queue import FIRST_PRIORITY, RequestQueue
+from lacewinggw.frontend.admission import AdmittedRequest
+from lacewinggw.frontend.dispatchqueue import RETRY_PRIORITY, DispatchQueue
+from lacewinggw.frontend.offers import OfferOptions, OfferTimeouts
+from lacewinggw.frontend.requeststate import RequestProgress
 from lacewinggw.ids import ServiceName
 
-SILENCE_FACTOR = 3.0  # of the route's objective: a target that is silent longer is left
-LEAST_SILENCE_S = 0.6
-LEAST_S = 0.001  # a time limit of nothing would not even send the request
-RESUME_WAIT_S = 1.5  # a caller gives a stream up after a pause of two seconds or more
+IDLE_OBJECTIVES = 3.0  # of the route's objective: a target that is silent longer is left
+MIN_IDLE_TIMEOUT_S = 0.6
+MIN_TIMEOUT_S = 0.001  # a time limit of nothing would not even send the request
+MAX_RESUME_WAIT_S = 1.5  # a caller gives a stream up after a pause of two seconds or more
 # A caller gives a stream up after the longest of these without an event (the operators' figures).
-LEAST_GAP_S = 2.0
+MIN_GAP_S = 2.0
 GAP_OBJECTIVES = 4.0
 GAP_PAUSES = 8.0
-LAST_OFFER_S = 0.6  # before that: what is offered later has its first event too late, mostly
+LAST_OFFER_MARGIN_S = 0.6  # before that: what is offered later has its first event too late, mostly
 MOST_URGENT = 0
 URGENCY_BASE = 2  # of a request with priority 0 that nobody has worked on yet
 LEAST_URGENT = 9
@@ -41,7 +41,7 @@
     window_s: float
 
 
-class Placing:
+class RequestPlacer:
     """Chooses targets for requests and counts retries against the budget.
 
     claim = await placing.claim(job)
@@ -51,11 +51,11 @@
     def __init__(
         self,
         knowledge: RoutingView,
-        queue: RequestQueue,
+        queue: DispatchQueue,
         clock: Clock,
         retries: Callable[[], RetryLimits],
         count_entries: Callable[[], int],
-        is_suspect: Callable[[Admitted], bool] = lambda admitted: False,
+        is_suspect: Callable[[AdmittedRequest], bool] = lambda admitted: False,
     ) -> None:
         self._knowledge = knowledge
         self._queue = queue
@@ -66,42 +66,42 @@
         self._budgets: dict[ServiceName, RetryBudget] = {}
         self._times = CallerTimeouts()
 
-    async def claim(self, job: Job) -> InFlightRequest:
+    async def claim(self, state: RequestProgress) -> InFlightRequest:
         """Return room at a target that takes the request now, waiting for one in the queue."""
-        admitted = job.admitted
-        wish = self._wish(job)
+        admitted = state.admitted
+        requirements = self._requirements(state)
         now = _now()
         left_s = admitted.deadline - now
-        if job.runs:
+        if state.runs:
             # Work was done for it: it goes on wherever there is room, while its caller waits.
-            until = min(admitted.deadline, now + RESUME_WAIT_S)
-            if job.last_event is None:
-                until = min(until, abandons_at(admitted) - LAST_OFFER_S)
+            until = min(admitted.deadline, now + MAX_RESUME_WAIT_S)
+            if state.last_event is None:
+                until = min(until, first_event_deadline(admitted) - LAST_OFFER_MARGIN_S)
             if until <= now:
                 raise DeadlineTooNear("the caller is about to give up")
-            claim = await self._queue.claim(wish, FIRST_PRIORITY, False, until)
+            claim = await self._queue.claim(requirements, RETRY_PRIORITY, False, until)
         else:
-            wait = self._patience(admitted, left_s)
-            job.is_late = wait.is_late
+            wait = self._patience_for(admitted, left_s)
+            state.is_late = wait.is_late
             until = now + wait.wait_s
-            claim = await self._queue.claim(wish, admitted.priority, wait.is_late, until)
+            claim = await self._queue.claim(requirements, admitted.priority, wait.is_late, until)
         load = claim.load
-        job.target, job.waited_s = load.entry.target, job.waited_s + _now() - now
-        job.ahead = round(load.ahead(now) - 1.0, 1)
-        if job.arrived:
+        state.target, state.waited_s = load.entry.target, state.waited_s + _now() - now
+        state.requests_ahead = round(load.ahead(now) - 1.0, 1)
+        if state.has_reached_target:
             self._budget(admitted.service).note_call(_now())
         return claim
 
-    def may_repeat(self, job: Job) -> bool:
+    def take_retry(self, state: RequestProgress) -> bool:
         """Return whether a request may be offered once more, and count it if so.
 
         An offer that reached no target put no load on one: another in its place is not a retry.
         """
-        if not job.arrived:
-            return job.may_repeat
-        return job.may_repeat and self._budget(job.admitted.service).take(_now())
+        if not state.has_reached_target:
+            return state.can_retry
+        return state.can_retry and self._budget(state.admitted.service).take(_now())
 
-    def _patience(self, admitted: Admitted, left_s: float) -> WaitBudget:
+    def _patience_for(self, admitted: AdmittedRequest, left_s: float) -> WaitBudget:
         facts, route = admitted.facts, admitted.route
         held_s = _now() - admitted.call.arrived_at
         elapsed_s = held_s + self._times.elapsed(route.name, facts.time_left_s)
@@ -110,26 +110,32 @@
         late_share = self._queue.late_share(admitted.service)
         return wait_budget(route, engine, facts.prompt_tokens, elapsed_s, left_s, late_share)
 
-    def _wish(self, job: Job) -> TargetRequirements:
-        admitted = job.admitted
+    def _requirements(self, state: RequestProgress) -> TargetRequirements:
+        admitted = state.admitted
         model = admitted.facts.model
         service = self._service(admitted.service)
         if service is None or service.engine is None or model is None:
-            return TargetRequirements(admitted.service, excluded=frozenset(job.avoid))
-        least = self._least_version(job)
+            return TargetRequirements(admitted.service, excluded=frozenset(state.tried_targets))
+        least = self._least_version(state)
         reading_s = prefill_time(service.engine, admitted.facts.prompt_tokens)
         suspect = admitted.digest if self._is_suspect(admitted) else None
         return TargetRequirements(
-            admitted.service, model, least, job.version, frozenset(job.avoid), reading_s, suspect
+            admitted.service,
+            model,
+            least,
+            state.weights_version,
+            frozenset(state.tried_targets),
+            reading_s,
+            suspect,
         )
 
     def _service(self, name: ServiceName) -> Service | None:
         table = self._knowledge.routes
         return table.services.get(name) if table else None
 
-    def _least_version(self, job: Job) -> int:
+    def _least_version(self, state: RequestProgress) -> int:
         """Return the oldest version of the model that a request may still begin on."""
-        model = job.admitted.facts.model
+        model = state.admitted.facts.model
         if model is None:
             return 0
         return self._knowledge.min_version(model, self._clock())
@@ -143,40 +149,40 @@
         budget.extra = limits.extra / entries if entries else 0.0
         return budget
 
-    def sending(self, job: Job) -> Sending:
+    def offer_options(self, state: RequestProgress) -> OfferOptions:
         """Return what the next target is told of a request beside the caller's own head."""
-        facts = job.admitted.facts
-        resume_after = job.last_event if job.last_event is not None else facts.last_event
-        least = self._least_version(job)
-        version = job.version if job.version is not None else least or None
-        usual = min(LEAST_URGENT, URGENCY_BASE + job.admitted.priority)
-        urgency = MOST_URGENT if job.runs else usual
-        return Sending(version, resume_after, urgency)
-
-    def limits(self, job: Job, load: TargetLoad) -> OfferLimits:
+        facts = state.admitted.facts
+        resume_after = state.last_event if state.last_event is not None else facts.last_event
+        least = self._least_version(state)
+        version = state.weights_version if state.weights_version is not None else least or None
+        usual = min(LEAST_URGENT, URGENCY_BASE + state.admitted.priority)
+        urgency = MOST_URGENT if state.runs else usual
+        return OfferOptions(version, resume_after, urgency)
+
+    def offer_timeouts(self, state: RequestProgress, load: TargetLoad) -> OfferTimeouts:
         """Return how long a target may be silent: to the end where nobody else may be asked.
 
         What has not begun when the target's weights run out must not begin at all.
         """
-        rest_s = max(LEAST_S, job.admitted.deadline - _now())
-        silence_s = rest_s
-        route = job.admitted.route
-        if route.retry_policy is not RetryPolicy.NEVER and job.runs < route.attempts:
-            silence_s = min(rest_s, max(LEAST_SILENCE_S, SILENCE_FACTOR * route.objective_s))
-        begin_s = silence_s
-        model = job.admitted.facts.model
+        rest_s = max(MIN_TIMEOUT_S, state.admitted.deadline - _now())
+        idle_s = rest_s
+        route = state.admitted.route
+        if route.retry_policy is not RetryPolicy.NEVER and state.runs < route.attempts:
+            idle_s = min(rest_s, max(MIN_IDLE_TIMEOUT_S, IDLE_OBJECTIVES * route.objective_s))
+        head_s = idle_s
+        model = state.admitted.facts.model
         if model is not None:
             left_s = self._knowledge.start_deadline(load.entry.target, model) - self._clock()
-            begin_s = max(LEAST_S, min(silence_s, left_s))
-        return OfferLimits(begin_s, silence_s)
+            head_s = max(MIN_TIMEOUT_S, min(idle_s, left_s))
+        return OfferTimeouts(head_s, idle_s)
 
 
-def abandons_at(admitted: Admitted) -> float:
+def first_event_deadline(admitted: AdmittedRequest) -> float:
     """Return when a caller gives up a stream of which it has no event yet."""
     route = admitted.route
     if not route.streams:
         return admitted.deadline
-    gap_s = max(LEAST_GAP_S, GAP_OBJECTIVES * route.objective_s, GAP_PAUSES * route.gap_s)
+    gap_s = max(MIN_GAP_S, GAP_OBJECTIVES * route.objective_s, GAP_PAUSES * route.gap_s)
     return admitted.call.arrived_at + gap_s
 
 
--- a/src/lacewinggw/frontend/slots.py
+++ b/src/lacewinggw/frontend/slots.py
@@ -12,16 +12,16 @@
 
 # How many agents a request waits for at once. One alone may be frozen, or keep all its slots, and
 # each keeps few in line: with fewer, slots that fall free would find nobody for a moment.
-ASKED_AT_ONCE = 6
-ASKED_MOST = 8  # by one request, those that declined included
+MAX_CONCURRENT_ASKS = 6
+MAX_ASKS = 8  # by one request, those that declined included
 # A request that others have overtaken at so many agents does not wait at the rest: newer ones come
 # there as well, and its caller would be held for little. One alone may be that of a slow engine.
-OVERTAKEN_MOST = 2
+MAX_OVERTAKEN = 2
 # An agent answers in a millisecond, over a link that carries weights in some tens. One that has
 # not is waited for no longer before another is asked.
-ANSWER_S = 0.05
+ANSWER_TIMEOUT_S = 0.05
 
-LEAST_WAIT_S = 0.001  # timers are no finer
+MIN_WAIT_S = 0.001  # timers are no finer
 
 
 class SlotAnswer(Enum):
@@ -82,7 +82,7 @@
 
     ask: AskSlot
     pick: PickTarget
-    wish: SlotRequest
+    request: SlotRequest
     arrived_at: float
     _overtaken: int = 0
     _asked: set[TargetId] = field(default_factory=set)
@@ -97,23 +97,23 @@
             self._leave_all()
 
     async def _find(self, until: float) -> Lease | None:
-        while self._overtaken < OVERTAKEN_MOST:
-            newest = self._ask_one() if len(self._pending) < ASKED_AT_ONCE else None
+        while self._overtaken < MAX_OVERTAKEN:
+            newest = self._ask_one() if len(self._pending) < MAX_CONCURRENT_ASKS else None
             if not self._pending:
                 return None
-            limit = min(until, _now() + ANSWER_S) if newest else until
-            lease = await self._hear(newest, limit)
-            if lease is not None or _now() >= until - LEAST_WAIT_S:
+            limit = min(until, _now() + ANSWER_TIMEOUT_S) if newest else until
+            lease = await self._next_answer(newest, limit)
+            if lease is not None or _now() >= until - MIN_WAIT_S:
                 return lease
         return None
 
     def _ask_one(self) -> _Asked | None:
-        while len(self._asked) < ASKED_MOST:
+        while len(self._asked) < MAX_ASKS:
             load = self.pick(self._asked)
             if load is None:
                 return None
             self._asked.add(load.entry.target)
-            call = self.ask(load, replace(self.wish, waited_s=_now() - self.arrived_at))
+            call = self.ask(load, replace(self.request, waited_s=_now() - self.arrived_at))
             if call is not None:
                 asked = _Asked(load, call)
                 asked.listening = asyncio.get_running_loop().create_task(self._listen(asked))
@@ -121,7 +121,7 @@
                 return asked
         return None
 
-    async def _hear(self, newest: _Asked | None, limit: float) -> Lease | None:
+    async def _next_answer(self, newest: _Asked | None, limit: float) -> Lease | None:
         """Wait for a slot up to `limit`, or until one more is to be asked."""
         try:
             async with asyncio.timeout_at(limit):
@@ -151,7 +151,7 @@
             answer = await asked.call.answer()
             self._answers.put_nowait((asked, answer))
 
-    def leave_where(self, is_closed: Callable[[TargetLoad], bool]) -> None:
+    def withdraw_where(self, is_closed: Callable[[TargetLoad], bool]) -> None:
         """Leave the lines for targets that are closed; other agents are asked at once."""
         for asked in [each for each in self._pending if is_closed(each.load)]:
             self._leave(asked)
--- a/src/lacewinggw/frontend/sight.py
+++ b/src/lacewinggw/frontend/storefollower.py
@@ -18,18 +18,18 @@
 from lacewinggw.fleet.era import StoreEra
 from lacewinggw.fleet.feed import (
     CrashingRequest,
-    Drop,
     FeedUpdate,
     FleetFeed,
-    Lifted,
+    ItemChanged,
+    ItemRemoved,
     MemberEntry,
-    Put,
+    QuarantineLifted,
     Topic,
 )
-from lacewinggw.fleet.follower import Apply, TopicFollower, Wait
-from lacewinggw.fleet.listing import take_listing
-from lacewinggw.fleet.ownrows import crashing_by, crashing_key
-from lacewinggw.frontend.departures import Departures, LeavingSource
+from lacewinggw.fleet.follower import Apply, PollTimes, TopicFollower
+from lacewinggw.fleet.listing import apply_target_list
+from lacewinggw.fleet.ownrows import crashing_key, parse_crashing_key
+from lacewinggw.frontend.leavingtargets import LeavingSource, LeavingTargets
 from lacewinggw.ids import HostId, ModelName, TargetId
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
@@ -37,21 +37,21 @@
 # The age of the routes stays well within the shortest bound on keys: two entries a place read, and
 # the others ask them and are told when something is new; who gets no answer reads itself. Calls
 # for the routes then grow with the places, not with the entries.
-ROUTES_WAIT = Wait(for_update_s=1.2, after_update_s=0.4)
+ROUTES_POLL = PollTimes(for_update_s=1.2, after_update_s=0.4)
 # A silent connection is noticed within the bound on leaving targets and a window of stability. Each
 # change of the list wakes whoever follows it. Entries that read often tell of targets that leave,
 # and agents of weights, so that the others can let changes gather; with the time of a call that is
 # still within the two seconds after which a leaving target may get nothing.
-READER_LIST_WAIT = Wait(for_update_s=4.0, after_update_s=0.4)
-ASKER_LIST_WAIT = Wait(for_update_s=4.0, after_update_s=1.2)
-MEMBERS_WAIT = Wait(for_update_s=15.0, after_update_s=1.0)
+READER_TARGETS_POLL = PollTimes(for_update_s=4.0, after_update_s=0.4)
+ASKER_TARGETS_POLL = PollTimes(for_update_s=4.0, after_update_s=1.2)
+MEMBERS_POLL = PollTimes(for_update_s=15.0, after_update_s=1.0)
 MS_PER_S = 1000
-EXPIRE_S = 0.1  # between looks for targets that did not come back after an outage
+EXPIRY_CHECK_S = 0.1  # between looks for targets that did not come back after an outage
 
 log = get_logger(__name__)
 
 
-class Sight:
+class StoreFollower:
     """Follows the store's topics into the knowledge and the pool of targets.
 
     `reads_often` tells whether this entry reads for its place, or nobody tells it what is new;
@@ -73,14 +73,14 @@
         clock: Clock,
         metrics: Metrics,
         rng: random.Random,
-        reads_often: Callable[[], bool],
-        reads_routes: Callable[[], bool],
-        is_list_vouched: Callable[[], bool],
+        is_frequent_reader: Callable[[], bool],
+        should_read_routes: Callable[[], bool],
+        is_list_confirmed: Callable[[], bool],
         on_change: Callable[[], None],
         on_members: Callable[[], None],
-        departures: Departures,
+        leaving_targets: LeavingTargets,
         on_urgent: Callable[[], None],
-        on_crashing: Callable[[CrashingRequest | Lifted], None],
+        on_crashing: Callable[[CrashingRequest | QuarantineLifted], None],
         on_restored: Callable[[Set[str]], None],
     ) -> None:
         self.members: dict[HostId, Member] = {}
@@ -95,36 +95,36 @@
         self.era = StoreEra(metrics)
         self.era.subscribe(self._store_clock.reset)
         self.era.subscribe(lambda: knowledge.record_outage_end(clock()))
-        self._reads_often = reads_often
+        self._is_frequent_reader = is_frequent_reader
         self._on_change = on_change
         self._on_members = on_members
-        self._departures = departures
+        self._leaving_targets = leaving_targets
         self._on_urgent = on_urgent
         self._on_crashing = on_crashing
         self._on_restored = on_restored
-        self._has_list = False
-        self._list_read_at = -math.inf
+        self._has_targets = False
+        self._targets_read_at = -math.inf
         self._has_members = False
         self._targets = self._follow(
-            Topic.TARGETS, self._apply_targets, self._list_wait, is_vouched=is_list_vouched
+            Topic.TARGETS, self._apply_targets, self._targets_poll, is_confirmed=is_list_confirmed
         )
         self._configuration = self._follow(
             Topic.CONFIGURATION,
             self._apply_configuration,
-            lambda: ROUTES_WAIT,
-            reads_routes,
+            lambda: ROUTES_POLL,
+            should_read_routes,
         )
         self._followers = [
             self._configuration,
             self._targets,
-            self._follow(Topic.MEMBERS, self._apply_members, lambda: MEMBERS_WAIT),
+            self._follow(Topic.MEMBERS, self._apply_members, lambda: MEMBERS_POLL),
         ]
         self._expiry = Background("expiry", self._expire)
 
     @property
     def has_targets(self) -> bool:
         """Whether the list of targets has been read."""
-        return self._has_list
+        return self._has_targets
 
     @property
     def targets_position(self) -> StorePosition:
@@ -133,7 +133,7 @@
 
     def targets_age(self, now: float) -> float:
         """Return how long ago the list of targets was the store's, in seconds."""
-        return now - self._list_read_at
+        return now - self._targets_read_at
 
     @property
     def routes_position(self) -> StorePosition:
@@ -145,7 +145,7 @@
         """Whether the list of entries has been read."""
         return self._has_members
 
-    def leave_routes(self) -> None:
+    def cancel_routes_read(self) -> None:
         """Stop reading the routes while another entry sends them.
 
         A copy from the store, ten times as large, would hold up the one that is on its way over the
@@ -153,9 +153,9 @@
         """
         self._configuration.interrupt()
 
-    def note_routes_taken(self, position: StorePosition) -> None:
+    def advance_routes(self, position: StorePosition) -> None:
         """Note that another entry gave the routes, and how far its knowledge went."""
-        self._configuration.advance(position)
+        self._configuration.advance_to(position)
 
     async def start(self) -> None:
         """Begin to follow."""
@@ -178,15 +178,15 @@
         self,
         topic: Topic,
         apply: Apply,
-        wait: Callable[[], Wait],
+        poll_times: Callable[[], PollTimes],
         is_needed: Callable[[], bool] = lambda: True,
-        is_vouched: Callable[[], bool] = lambda: False,
+        is_confirmed: Callable[[], bool] = lambda: False,
     ) -> TopicFollower:
         return TopicFollower(
             topic,
             self._feed,
             apply,
-            wait,
+            poll_times,
             self._clock,
             self._metrics,
             self._rng,
@@ -194,18 +194,18 @@
             self.era,
             self._access,
             is_needed,
-            is_vouched,
+            is_confirmed,
             on_regained=self._knowledge.record_outage_end,
         )
 
-    def _list_wait(self) -> Wait:
-        return READER_LIST_WAIT if self._reads_often() else ASKER_LIST_WAIT
+    def _targets_poll(self) -> PollTimes:
+        return READER_TARGETS_POLL if self._is_frequent_reader() else ASKER_TARGETS_POLL
 
     def _apply_configuration(self, update: FeedUpdate, proof: AnswerTimes) -> None:
         now = self._clock()
         for change in update.changes:
             match change:
-                case Put(RouteTable() as table) if self._knowledge.update_routes(table):
+                case ItemChanged(RouteTable() as table) if self._knowledge.update_routes(table):
                     log.info(
                         "routes_taken",
                         version=table.version,
@@ -214,26 +214,26 @@
                         bytes=len(table.source),
                         age_ms=round((now - proof.sent_at) * MS_PER_S),
                     )
-                case Put(DueVersion() as due) if self._knowledge.require_version(
+                case ItemChanged(DueVersion() as due) if self._knowledge.require_version(
                     due, now, update.whole
                 ):
                     log.info("version_due", model=due.model, version=due.version)
         self._knowledge.confirm_routes(proof.sent_at, proof.composed_at)
         if update.changes:
             self._on_change()
-        if update.changes and self._reads_often():
+        if update.changes and self._is_frequent_reader():
             self._on_urgent()
 
     def _apply_targets(self, update: FeedUpdate, proof: AnswerTimes) -> None:
-        take_listing(self._knowledge, update, self._clock())
-        self._list_read_at = proof.sent_at
-        self._has_list = self._has_list or update.whole
+        apply_target_list(self._knowledge, update, self._clock())
+        self._targets_read_at = proof.sent_at
+        self._has_targets = self._has_targets or update.whole
         self._sync()
 
     def _sync(self) -> None:
         self._pool.sync(self._knowledge.targets)
         self._on_change()
-        self._departures.note_known(LeavingSource.LIST)
+        self._leaving_targets.publish_new(LeavingSource.LIST)
 
     def _apply_members(self, update: FeedUpdate, _: AnswerTimes) -> None:
         self._has_members = True
@@ -244,19 +244,19 @@
             self.members.clear()
         for change in update.changes:
             match change:
-                case Put(MemberEntry(member)):
+                case ItemChanged(MemberEntry(member)):
                     self.members[member.host] = member
-                case Put(CrashingRequest() as entry):
+                case ItemChanged(CrashingRequest() as entry):
                     self._on_crashing(entry)
-                case Drop(key) if (request := crashing_by(key)) is not None:
-                    self._on_crashing(Lifted(request))
-                case Drop(key):
+                case ItemRemoved(key) if (request := parse_crashing_key(key)) is not None:
+                    self._on_crashing(QuarantineLifted(request))
+                case ItemRemoved(key):
                     self.members.pop(HostId(key), None)
         self._on_members()
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRY_CHECK_S)
             known = len(self._knowledge.targets)
             self._knowledge.expire(self._clock())
             if len(self._knowledge.targets) != known:
@@ -267,7 +267,7 @@
     """Yield the keys of our own rows in the update."""
     for change in update.changes:
         match change:
-            case Put(MemberEntry(member)):
+            case ItemChanged(MemberEntry(member)):
                 yield member.host
-            case Put(CrashingRequest(request)):
+            case ItemChanged(CrashingRequest(request)):
                 yield crashing_key(request)
--- a/src/lacewinggw/frontend/targetanswers.py
+++ b/src/lacewinggw/frontend/targetanswers.py
@@ -6,7 +6,7 @@
 from lacewinggw.decisions.dispatch import TargetPool
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.frontend.calls import AnswerFacts
-from lacewinggw.frontend.departures import Departures, LeavingSource
+from lacewinggw.frontend.leavingtargets import LeavingSource, LeavingTargets
 from lacewinggw.frontend.targetrates import TargetRates
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
@@ -26,13 +26,13 @@
         self,
         pool: TargetPool,
         rates: TargetRates,
-        departures: Departures,
+        leaving_targets: LeavingTargets,
         on_backoff: Callable[[], None],
         metrics: Metrics,
     ) -> None:
         self._pool = pool
         self._rates = rates
-        self._departures = departures
+        self._leaving_targets = leaving_targets
         self._on_backoff = on_backoff
         self._backoffs = metrics.counter("target_backoffs")
 
@@ -40,11 +40,11 @@
         """Return the time by the clock that observations count on, in seconds."""
         return self._rates.read_clock()
 
-    def note(self, load: TargetLoad, facts: AnswerFacts, asked_at: float) -> None:
+    def apply_facts(self, load: TargetLoad, facts: AnswerFacts, asked_at: float) -> None:
         """Act on what a target says of itself in the answer to a request sent at `asked_at`."""
         self._rates.note_answer(load, facts, asked_at)
         if facts.leaving:
-            self._departures.note(load.entry.target, LeavingSource.ANSWER)
+            self._leaving_targets.mark_leaving(load.entry.target, LeavingSource.ANSWER)
         if facts.retry_after_s is not None:
             self._note_backoff(load, facts.retry_after_s)
 
--- a/src/lacewinggw/frontend/targetrates.py
+++ b/src/lacewinggw/frontend/targetrates.py
@@ -16,7 +16,7 @@
 
 MS_PER_S = 1000.0
 # The end of a limit is told so long: entries send updates twice a second.
-END_TOLD_S = 5.0
+END_ANNOUNCED_S = 5.0
 
 log = get_logger(__name__)
 
@@ -37,16 +37,16 @@
         self,
         pool: TargetPool,
         me: LocalEntry,
-        listed: Callable[[], Sequence[PeerEntry] | None],
-        passes_on: Callable[[], bool],
+        listed_entries: Callable[[], Sequence[PeerEntry] | None],
+        is_forwarder: Callable[[], bool],
         on_change: Callable[[], None],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self._pool = pool
         self._me = me
-        self._listed = listed
-        self._passes_on = passes_on
+        self._listed_entries = listed_entries
+        self._is_forwarder = is_forwarder
         self._on_change = on_change
         self._clock = clock
         self._changes = metrics.counter("target_limit_changes")
@@ -66,13 +66,13 @@
 
     def apply_updates(self, entry: PeerEntry, updates: Iterable[messages.TargetLimit]) -> None:
         """Take what another entry tells; what is said of an unknown target comes again."""
-        for told in updates:
-            load = self._pool.loads.get(TargetId(told.target))
+        for limit in updates:
+            load = self._pool.loads.get(TargetId(limit.target))
             if load is None:
                 continue
-            near = entry.place == self._me.place and not told.passed_on
-            per_s = told.per_s if told.limited else None
-            seen_at = self._clock() - told.age_ms / MS_PER_S
+            near = entry.place == self._me.place and not limit.passed_on
+            per_s = limit.per_s if limit.limited else None
+            seen_at = self._clock() - limit.age_ms / MS_PER_S
             before = load.rate.per_s
             if load.rate.note_update(per_s, seen_at, LimitSource.NEAR if near else LimitSource.FAR):
                 self._note_change(load, before)
@@ -89,22 +89,22 @@
                 load.rate.source is not LimitSource.ANSWER,
             )
             for load in self._pool.loads.values()
-            if self._is_told(load, now)
+            if self._is_announced(load, now)
         ]
 
-    def note_members(self) -> None:
+    def update_shares(self) -> None:
         """Share the limits anew: the list of entries has changed."""
         for load in self._limited():
             self._share(load)
 
-    def _is_told(self, load: TargetLoad, now: float) -> bool:
-        if load.rate.per_s is None and now - load.rate.seen_at > END_TOLD_S:
+    def _is_announced(self, load: TargetLoad, now: float) -> bool:
+        if load.rate.per_s is None and now - load.rate.seen_at > END_ANNOUNCED_S:
             return False
         match load.rate.source:
             case LimitSource.ANSWER:
                 return True
             case LimitSource.NEAR:
-                return self._passes_on()
+                return self._is_forwarder()
             case LimitSource.FAR:
                 return False
 
@@ -135,7 +135,9 @@
             load.allowance = None
             return
         now = asyncio.get_running_loop().time()
-        share = entry_share(self._me.host, entry.target, entry.place, per_s, self._listed() or ())
+        share = entry_share(
+            self._me.host, entry.target, entry.place, per_s, self._listed_entries() or ()
+        )
         if load.allowance is None:
             load.allowance = Allowance(share, now)
         else:
--- a/src/lacewinggw/lab/fleetmodel/callers.py
+++ b/src/lacewinggw/lab/fleetmodel/callers.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from lacewinggw.errors import LacewingError
-from lacewinggw.frontend.callers import CallerGone
+from lacewinggw.frontend.callers import CallerDisconnected
 from lacewinggw.frontend.calls import Call, CallFacts
 from lacewinggw.lab.fleetmodel.offers import ModelCall
 from lacewinggw.lab.fleetmodel.profile import DOMAIN, MODEL, USUAL_LEFT_S, CallKind, FleetProfile
@@ -59,13 +59,13 @@
     story: Story
     hop_s: float
     last_event: int = 0
-    has_begun: bool = False
+    has_started_answer: bool = False
     refusal: LacewingError | None = None
     closed: asyncio.Event = field(default_factory=asyncio.Event)
     heard_at: float = 0.0
     whole: bool = False
 
-    async def watch(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return when the caller leaves."""
         await self.closed.wait()
 
@@ -74,7 +74,7 @@
 
     async def begin(self, status: int, headers: object, data: bytes = b"") -> None:
         """Take the head of a stream, with its first events."""
-        self.has_begun = True
+        self.has_started_answer = True
         await self.send(data)
 
     async def send(self, data: bytes) -> None:
@@ -199,7 +199,7 @@
                     break
                 await asyncio.wait([serving], timeout=until - _now())
             await asyncio.wait([serving])
-            if not serving.cancelled() and isinstance(serving.exception(), CallerGone):
+            if not serving.cancelled() and isinstance(serving.exception(), CallerDisconnected):
                 return
         finally:
             serving.cancel()
--- a/src/lacewinggw/lab/fleetmodel/fleet.py
+++ b/src/lacewinggw/lab/fleetmodel/fleet.py
@@ -11,12 +11,12 @@
 from lacewinggw.decisions.locality import choose_agents
 from lacewinggw.decisions.routingview import RoutingView, RoutingViewRules
 from lacewinggw.decisions.targetlist import TargetEntry
-from lacewinggw.frontend.callers import CallerGone
+from lacewinggw.frontend.callers import CallerDisconnected
 from lacewinggw.frontend.calls import Call
-from lacewinggw.frontend.departures import Departures
-from lacewinggw.frontend.placing import Placing, RetryLimits
-from lacewinggw.frontend.queue import RequestQueue
-from lacewinggw.frontend.relay import Relay, RelayParts
+from lacewinggw.frontend.dispatchqueue import DispatchQueue
+from lacewinggw.frontend.leavingtargets import LeavingTargets
+from lacewinggw.frontend.relay import RelayDependencies, RequestRelay
+from lacewinggw.frontend.requestplacer import RequestPlacer, RetryLimits
 from lacewinggw.ids import Address, HostId, Place, TargetId, TargetName
 from lacewinggw.lab.fleetmodel.agent import ModelAgent, ModelSlots
 from lacewinggw.lab.fleetmodel.callers import Crowd, Door, ModelCaller, Story
@@ -64,24 +64,26 @@
             knowledge.update_target(entry)
         self.pool.sync(knowledge.targets)
         slots = ModelSlots(profile, agents, place)
-        self.queue = RequestQueue(self.pool, self.metrics, slots.ask)
+        self.queue = DispatchQueue(self.pool, self.metrics, slots.ask)
         limits = RetryLimits(0.2, profile.extra_retries, 10.0)
-        placing = Placing(knowledge, self.queue, loop_time, lambda: limits, lambda: profile.entries)
+        placing = RequestPlacer(
+            knowledge, self.queue, loop_time, lambda: limits, lambda: profile.entries
+        )
         codec = ModelCodec(calls)
         offers = ModelOffers(profile, engines, calls, place)
-        self._relay = Relay(
-            RelayParts(
+        self._relay = RequestRelay(
+            RelayDependencies(
                 codec=codec,
                 knowledge=knowledge,
                 pool=self.pool,
                 queue=self.queue,
-                placing=placing,
+                placer=placing,
                 offers=offers,  # type: ignore[arg-type]
                 crashes=ModelCrashes(),  # type: ignore[arg-type]
                 clock=loop_time,
                 metrics=self.metrics,
                 rng=rng,
-                departures=Departures(knowledge, lambda: None, lambda: None, self.metrics),
+                leaving_targets=LeavingTargets(knowledge, lambda: None, lambda: None, self.metrics),
             )
         )
 
@@ -106,7 +108,7 @@
             self._serving.discard(task)
             task.cancel()
         if task.cancelled() or task.exception() is not None:
-            raise CallerGone
+            raise CallerDisconnected
 
 
 class ModelFleet:
--- a/src/lacewinggw/lab/fleetmodel/offers.py
+++ b/src/lacewinggw/lab/fleetmodel/offers.py
@@ -6,9 +6,16 @@
 
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.decisions.targetload import TargetLoad
-from lacewinggw.frontend.admission import Admitted
-from lacewinggw.frontend.calls import AnswerFacts, CallFacts, Dispatch
-from lacewinggw.frontend.offers import OK, Answer, Lost, NotRun, OfferLimits, Sending
+from lacewinggw.frontend.admission import AdmittedRequest
+from lacewinggw.frontend.calls import AnswerFacts, CallFacts, DispatchFacts
+from lacewinggw.frontend.offers import (
+    OK,
+    Answer,
+    NotExecuted,
+    OfferOptions,
+    OfferTimeouts,
+    OutcomeUnknown,
+)
 from lacewinggw.ids import TargetId
 from lacewinggw.lab.fleetmodel.engine import EngineJob, ModelEngine
 from lacewinggw.lab.fleetmodel.profile import FleetProfile
@@ -37,7 +44,7 @@
         """Return what the request tells."""
         return self._calls[headers[0][1]].facts
 
-    def write_call(self, headers: HeaderList, dispatch: Dispatch) -> HeaderList:
+    def write_call(self, headers: HeaderList, dispatch: DispatchFacts) -> HeaderList:
         """Return the head as it is: engines here are asked directly."""
         return headers
 
@@ -84,22 +91,22 @@
         self._place = place
 
     async def send(
-        self, job: Admitted, load: TargetLoad, sending: Sending, limits: OfferLimits
-    ) -> Answer | NotRun | Lost:
+        self, job: AdmittedRequest, load: TargetLoad, sending: OfferOptions, limits: OfferTimeouts
+    ) -> Answer | NotExecuted | OutcomeUnknown:
         """Offer a request; return once its first event is there, or will not come."""
         hop_s = self._profile.hop_s if load.entry.place != self._place else 0.0002
         engine, call = self._engines[load.entry.target], self._calls[job.facts.call_id]
         await asyncio.sleep(3 * hop_s)
         if not engine.is_up:
             load.note_connect_failure(CONNECT_S, _now())
-            return NotRun("cannot connect", arrived=False)
+            return NotExecuted("cannot connect", has_reached_target=False)
         load.note_connect(2 * hop_s, _now())
         done = sending.resume_after or 0
         accepted = engine.accept(
             call.prompt_tokens, max(1, call.events - done), sending.urgency, done + 1
         )
         if accepted is None:
-            return NotRun("the engine is full", full=True)
+            return NotExecuted("the engine is full", is_full=True)
         return await self._await_first(engine, accepted, load, limits, hop_s)
 
     async def _await_first(
@@ -107,21 +114,21 @@
         engine: ModelEngine,
         accepted: EngineJob,
         load: TargetLoad,
-        limits: OfferLimits,
+        limits: OfferTimeouts,
         hop_s: float,
-    ) -> Answer | Lost:
+    ) -> Answer | OutcomeUnknown:
         try:
-            async with asyncio.timeout(limits.begin_s):
+            async with asyncio.timeout(limits.head_s):
                 first = await accepted.events.get()
                 await asyncio.sleep(hop_s)
         except TimeoutError:
             accepted.abandoned = True
-            return Lost("no answer in time", silent=True)
+            return OutcomeUnknown("no answer in time", has_timed_out=True)
         except asyncio.CancelledError:
             accepted.abandoned = True
             raise
         if first is None:
-            return Lost("the engine broke off")
+            return OutcomeUnknown("the engine broke off")
         load.note_data(_now())
         response = ModelResponse(engine, accepted, first, hop_s)
         facts = AnswerFacts(None, False, True, VERSION)
@@ -139,15 +146,17 @@
 class ModelCrashes:
     """Stands for the watch of requests that end targets: none of the modelled ones does."""
 
-    def require_allowed(self, admitted: Admitted) -> None:
+    def require_not_quarantined(self, admitted: AdmittedRequest) -> None:
         """Let each request reach targets."""
 
-    def is_quarantined(self, admitted: Admitted) -> bool:
+    def is_quarantined(self, admitted: AdmittedRequest) -> bool:
         """Tell that a request may reach targets."""
         return False
 
-    async def note_lost(self, admitted: Admitted, entry: TargetEntry, began_at: float) -> None:
+    async def note_connection_lost(
+        self, admitted: AdmittedRequest, entry: TargetEntry, began_at: float
+    ) -> None:
         """Take no note."""
 
-    def note_served(self, admitted: Admitted) -> None:
+    def note_served(self, admitted: AdmittedRequest) -> None:
         """Take no note."""
--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -12,9 +12,9 @@
 from lacewinggw.decisions.storeclock import AnswerTimes
 from lacewinggw.decisions.storeposition import NO_POSITION, StorePosition
 from lacewinggw.decisions.targetlist import DueVersion, TargetEntry
-from lacewinggw.fleet.agentupdates import all_resume
-from lacewinggw.fleet.feed import FeedUpdate, Put
-from lacewinggw.fleet.listing import take_listing
+from lacewinggw.fleet.agentupdates import are_all_resumable
+from lacewinggw.fleet.feed import FeedUpdate, ItemChanged
+from lacewinggw.fleet.listing import apply_target_list
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import Address, HostId, ModelName, Place, ServiceName, TargetId, TargetName
 from lacewinggw.log import get_logger
@@ -95,9 +95,9 @@
         """Take what the store says of routes and versions."""
         for change in update.changes:
             match change:
-                case Put(RouteTable() as table):
+                case ItemChanged(RouteTable() as table):
                     self._apply_routes(table)
-                case Put(DueVersion() as due):
+                case ItemChanged(DueVersion() as due):
                     self._add_due_version(due, self._clock(), update.whole)
 
     def apply_targets(self, update: FeedUpdate, _: AnswerTimes) -> None:
@@ -106,7 +106,7 @@
         now = self._clock()
         self._knowledge.expire(now)
         self._position = max(self._position, update.position)
-        take_listing(self._knowledge, update, now)
+        apply_target_list(self._knowledge, update, now)
 
     def _apply_routes(self, table: RouteTable) -> None:
         if not self._knowledge.update_routes(table):
@@ -115,7 +115,7 @@
         if service is None or service.weights is None or not service.models:
             return
         self.model, self.figures = service.models[0], service.weights
-        self.resumable = all_resume(table, self._name)
+        self.resumable = are_all_resumable(table, self._name)
         for each in table.services.values():
             if each.origin is not None:
                 self.origin, self.origin_bytes_per_s = each.origin, each.origin_bytes_per_s
--- a/src/lacewinggw/loader/process.py
+++ b/src/lacewinggw/loader/process.py
@@ -29,7 +29,7 @@
 from lacewinggw.fleet.bounds import knowledge_rules
 from lacewinggw.fleet.era import StoreEra
 from lacewinggw.fleet.feed import FleetFeed, Topic
-from lacewinggw.fleet.follower import Apply, TopicFollower, Wait
+from lacewinggw.fleet.follower import Apply, PollTimes, TopicFollower
 from lacewinggw.fleet.running import run_process
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.generated.settings.ttypes import Settings
@@ -66,7 +66,7 @@
 # Until an agent that starts reads the store, drawn between the two: entries send it all that it
 # needs in some hundred bytes, while the routes of agents that start together would fill a border.
 ENTRY_WAIT_RANGE_S = (0.5, 1.0)
-STORE_WAIT = Wait(for_update_s=4.0, after_update_s=0.5)  # only while no entry speaks
+STORE_WAIT = PollTimes(for_update_s=4.0, after_update_s=0.5)  # only while no entry speaks
 
 log = get_logger(__name__)
 
--- a/tests/fleet/test_adapter.py
+++ b/tests/fleet/test_adapter.py
@@ -15,14 +15,14 @@
 from lacewinggw.errors import MalformedHttp, PlatformError, PlatformUnavailable
 from lacewinggw.fleet.feed import (
     CrashingRequest,
-    Drop,
     HistoryGone,
-    Put,
+    ItemChanged,
+    ItemRemoved,
     Topic,
-    Unreadable,
+    UnreadableItem,
 )
-from lacewinggw.fleet.ownrows import crashing_by, crashing_key, crashing_row
-from lacewinggw.frontend.calls import Dispatch
+from lacewinggw.fleet.ownrows import crashing_key, crashing_row, parse_crashing_key
+from lacewinggw.frontend.calls import DispatchFacts
 from lacewinggw.lab.memory import MemoryNetwork
 from lacewinggw.wire.http import HttpClient, HttpServer, Response, json_response
 
@@ -110,7 +110,7 @@
 
 
 def test_what_a_target_is_told_instead():
-    told = HEADS.write_call(HEAD, Dispatch("i-1", "growers", 5000, 3, 2, 20))
+    told = HEADS.write_call(HEAD, DispatchFacts("i-1", "growers", 5000, 3, 2, 20))
     values = {name.lower(): value for name, value in told}
     assert "x-key" not in values
     assert [value for name, value in told if name.lower() == "x-tenant"] == ["growers"]
@@ -188,7 +188,7 @@
     rows = [row("a", target_row(LLM, "x:1"), 4), gone]
     async with PagedStore(json_response(200, {"Rows": rows, "SchemaVersion": 5})) as store:
         update = await store.changes(Topic.TARGETS, StorePosition(0, 3), 1.0)
-    assert [type(change) for change in update.changes] == [Put, Drop]
+    assert [type(change) for change in update.changes] == [ItemChanged, ItemRemoved]
     assert (update.position, update.whole) == (StorePosition(0, 5), False)
 
 
@@ -246,7 +246,7 @@
     bad = {"Table": "t", "part": "", "Key": key, "Value": BAD_VALUES[kind], "SchemaVersion": 4}
     async with PagedStore(json_response(200, {"Rows": [bad, good], "SchemaVersion": 5})) as store:
         update = await store.changes(topic, StorePosition(0, 3), 1.0)
-    assert [type(change) for change in update.changes] == [Unreadable, Put]
+    assert [type(change) for change in update.changes] == [UnreadableItem, ItemChanged]
     told = update.changes[0]
     assert (told.key, told.revision) == (key, 4) and told.reason
 
@@ -261,9 +261,14 @@
     ]
     async with PagedStore(json_response(200, {"Rows": rows, "SchemaVersion": 7})) as store:
         update = await store.changes(Topic.MEMBERS, StorePosition(0, 3), 1.0)
-    assert update.changes[0] == Put(CrashingRequest("ab12", "writer", ("i-1",), True))
-    assert [type(change) for change in update.changes] == [Put, Put, Unreadable, Drop]
-    assert crashing_by(update.changes[3].key) == "ef56"
+    assert update.changes[0] == ItemChanged(CrashingRequest("ab12", "writer", ("i-1",), True))
+    assert [type(change) for change in update.changes] == [
+        ItemChanged,
+        ItemChanged,
+        UnreadableItem,
+        ItemRemoved,
+    ]
+    assert parse_crashing_key(update.changes[3].key) == "ef56"
 
 
 @pytest.mark.looptime
--- a/tests/fleet/test_callers_leaving.py
+++ b/tests/fleet/test_callers_leaving.py
@@ -41,7 +41,7 @@
     entry.answer_s = 3.0
     stream.write(REQUEST)
     await asyncio.sleep(0.1)
-    entry.listener.leave()
+    entry.listener.disable_keep_alive()
     await asyncio.sleep(0.5)
     closing = asyncio.ensure_future(entry.listener.close(GRACE_S))
     await asyncio.sleep(2.0)
@@ -60,7 +60,7 @@
     for _ in range(2):
         stream.write(REQUEST)
         assert b"200" in await stream.read(1 << 16)
-    entry.listener.leave()
+    entry.listener.disable_keep_alive()
     stream.write(REQUEST)
     answer = await stream.read(1 << 16)
     assert b"200" in answer and b"connection: close" in answer.lower()
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lacewinggw.decisions.routingview import RoutingView, RoutingViewRules
-from lacewinggw.frontend.departures import Departures, LeavingSource
+from lacewinggw.frontend.leavingtargets import LeavingSource, LeavingTargets
 from lacewinggw.metrics import Metrics
 
 
@@ -20,13 +20,13 @@
 )
 def test_only_who_finds_out_first_tells_other_entries_at_once(source, told):
     calls = []
-    departures = Departures(
+    departures = LeavingTargets(
         RoutingView(RoutingViewRules()),
         lambda: calls.append("leaving"),
         lambda: calls.append("urgent"),
         Metrics(),
     )
     for _ in range(3):
-        departures.note("desk", source)
-        departures.note_known(source)
+        departures.mark_leaving("desk", source)
+        departures.publish_new(source)
     assert calls == ["leaving"] + ["urgent"] * told
--- a/tests/fleet/test_narrow_border.py
+++ b/tests/fleet/test_narrow_border.py
@@ -100,7 +100,7 @@
         await asyncio.sleep(2.0)
         fleet.network.hold(STORE_IP)
         await asyncio.sleep(2.0)
-        assert fleet.entries[0]._sight._followers[0].lost_since is not None
+        assert fleet.entries[0]._store._followers[0].lost_since is not None
 
 
 async def test_what_is_new_is_not_denied_by_an_entry_that_knows_that_it_is_behind():
--- a/tests/fleet/test_requests_straight.py
+++ b/tests/fleet/test_requests_straight.py
@@ -329,7 +329,7 @@
 
 async def test_an_offer_that_reached_nobody_is_no_retry():
     async with running_fleet(desks=1) as fleet:
-        budget = fleet.entries[0].relay._parts.placing._budget("desk")
+        budget = fleet.entries[0].relay._deps.placer._budget("desk")
         budget.share, budget.extra = 0.0, 0.0
         await fleet.targets["desk0"].close()
         fleet.store.put("servers", "i-gone", target_row("desk", "10.2.0.77:8080"))
--- a/tests/fleet/test_slot_search.py
+++ b/tests/fleet/test_slot_search.py
@@ -7,7 +7,7 @@
 from lacewinggw.decisions.slots import SlotRequest
 from lacewinggw.decisions.targetlist import TargetEntry
 from lacewinggw.decisions.targetload import TargetLoad
-from lacewinggw.frontend.slots import ASKED_AT_ONCE, SlotAnswer, SlotSearch
+from lacewinggw.frontend.slots import MAX_CONCURRENT_ASKS, SlotAnswer, SlotSearch
 
 pytestmark = pytest.mark.looptime
 
@@ -74,6 +74,6 @@
     agents = [Agent(f"i-{each}", SlotAnswer.GRANTED, 0.1) for each in range(ENGINES)]
     await search(agents, waited_s=0.04)
     wishes = [wish for agent in agents for wish in agent.wishes]
-    assert len(wishes) == ASKED_AT_ONCE
+    assert len(wishes) == MAX_CONCURRENT_ASKS
     assert all(wish.waited_s >= 0.04 for wish in wishes)
     assert wishes[-1].waited_s > wishes[0].waited_s
--- a/tests/fleet/test_store_drill.py
+++ b/tests/fleet/test_store_drill.py
@@ -167,7 +167,7 @@
     """Whoever was told of a later era than the answers show reads on, but not without a pause."""
     async with running_fleet(entries=1) as fleet:
         await asyncio.sleep(3.0)
-        fleet.entries[0]._sight.era.note(9)
+        fleet.entries[0]._store.era.note(9)
         fleet.store.calls.clear()
         await asyncio.sleep(2.0)
         assert len(fleet.store.calls) <= 3 * 2.0 / 0.1 + 3
--- a/tests/fuzz/test_fuzz_entries.py
+++ b/tests/fuzz/test_fuzz_entries.py
@@ -11,7 +11,7 @@
 from platform_standins import LLM, manifest, target_row
 
 from lacewinggw.errors import EntryUnreadable, TargetUnreachable
-from lacewinggw.fleet.feed import Drop, Put, Topic, Unreadable
+from lacewinggw.fleet.feed import ItemChanged, ItemRemoved, Topic, UnreadableItem
 from lacewinggw.wire.http import Response
 
 EXAMPLES = 150
@@ -80,7 +80,7 @@
     rows = [{"Key": f"k{index}", "Value": as_value(each)} for index, each in enumerate(values)]
     page = _decode_page({"Rows": rows, "SchemaVersion": 9}, 0)
     changes = list(_changes(topic, page.rows))
-    assert all(isinstance(change, Put | Drop | Unreadable) for change in changes)
+    assert all(isinstance(change, ItemChanged | ItemRemoved | UnreadableItem) for change in changes)
 
 
 def as_value(value):
