--- a/src/lacewinggw/decisions/chunkavailability.py
+++ b/src/lacewinggw/decisions/chunkavailability.py
@@ -1,38 +1,38 @@
-"""Which chunks of a release are held here, which are shown by neighbours, and which by nobody."""
+"""Track which chunks of a release are held locally, by neighbours in each place, or by none."""
 
 import random
 
 
 class ChunkSet:
-    """A set of chunk indexes from which some can be drawn at random in constant time."""
+    """A set of chunk indexes from which a random sample is drawn in constant time."""
 
     def __init__(self) -> None:
         self._items: list[int] = []
-        self._at: dict[int, int] = {}
+        self._positions: dict[int, int] = {}
 
     def __len__(self) -> int:
         return len(self._items)
 
     def add(self, index: int) -> None:
-        """Add an index, unless it is there."""
-        if index not in self._at:
-            self._at[index] = len(self._items)
+        """Add an index; do nothing if it is present."""
+        if index not in self._positions:
+            self._positions[index] = len(self._items)
             self._items.append(index)
 
     def discard(self, index: int) -> None:
-        """Take an index out, if it is there."""
-        at = self._at.pop(index, None)
-        if at is None:
+        """Remove an index; do nothing if it is absent."""
+        position = self._positions.pop(index, None)
+        if position is None:
             return
         last = self._items.pop()
         if last != index:
-            self._items[at] = last
-            self._at[last] = at
+            self._items[position] = last
+            self._positions[last] = position
 
     def clear(self) -> None:
-        """Take everything out."""
+        """Remove all indexes."""
         self._items.clear()
-        self._at.clear()
+        self._positions.clear()
 
     def sample(self, rng: random.Random, count: int) -> list[int]:
         """Return all indexes, or `count` of them at random when there are more."""
@@ -42,11 +42,11 @@
 
 
 class ChunkAvailability:
-    """Chunks by what is known of them, kept up to date one by one.
+    """The availability of each chunk of a release, updated incrementally.
 
-    `local` and `remote` count the neighbours, in this place and in others, that show each chunk. A
-    missing chunk is `absent` from its column while nobody shows it, and `elsewhere` while only
-    other places do.
+    `local_holders` and `remote_holders` count the neighbours that hold each chunk, in this place
+    and in other places. `unavailable` has, by column, the missing chunks that no neighbour holds;
+    `remote_only` those that only neighbours in other places hold.
     """
 
     def __init__(self, count: int) -> None:
@@ -58,37 +58,37 @@
         self.remote_only: list[set[int]] = [set()]
 
     def set_columns(self, columns: int) -> None:
-        """Sort the chunks into columns: chunk `i` is in column `i` modulo their number."""
+        """Divide the chunks into columns: chunk `i` is in column `i % columns`."""
         self.unavailable = [set() for _ in range(max(columns, 1))]
         self.remote_only = [set() for _ in range(max(columns, 1))]
         for index in self.missing:
-            self._sort(index)
+            self._classify(index)
 
     def column_of(self, index: int) -> int:
-        """Return a chunk's column."""
+        """Return the column of a chunk."""
         return index % len(self.unavailable)
 
     def is_available(self, index: int) -> bool:
-        """Return whether any neighbour shows a chunk."""
+        """Return whether any neighbour holds a chunk."""
         return self.local_holders[index] + self.remote_holders[index] > 0
 
     def add_holder(self, index: int, local: bool) -> None:
-        """Count one more neighbour that shows a chunk."""
+        """Count one more neighbour as a holder of a chunk."""
         (self.local_holders if local else self.remote_holders)[index] += 1
-        self._sort(index)
+        self._classify(index)
 
     def remove_holder(self, index: int, local: bool) -> None:
-        """Count one neighbour less that shows a chunk."""
+        """Count one neighbour less as a holder of a chunk."""
         (self.local_holders if local else self.remote_holders)[index] -= 1
-        self._sort(index)
+        self._classify(index)
 
     def mark_held(self, index: int) -> None:
-        """Note that a chunk is held here."""
+        """Record that a chunk is held locally."""
         self.held.add(index)
         self.missing.discard(index)
-        self._sort(index)
+        self._classify(index)
 
-    def _sort(self, index: int) -> None:
+    def _classify(self, index: int) -> None:
         column = self.column_of(index)
         self.unavailable[column].discard(index)
         self.remote_only[column].discard(index)
--- a/src/lacewinggw/decisions/chunksources.py
+++ b/src/lacewinggw/decisions/chunksources.py
@@ -1,4 +1,4 @@
-"""Where a chunk may come from, and what is known of each source."""
+"""The sources of chunks, the state of each, and the back-off after failures."""
 
 import random
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Neighbour:
-    """Another host that is due the release."""
+    """Another host that is to hold the release."""
 
     host: HostId
 
@@ -30,7 +30,7 @@
 
 Source: TypeAlias = Neighbour | Origin | Store
 
-MAX_BACKOFF_DOUBLINGS = 10  # of the back-off, before its limit
+MAX_BACKOFF_DOUBLINGS = 10  # limit on the exponent, applied before the limit of the back-off
 
 ORIGIN = Origin()
 STORE = Store()
@@ -38,7 +38,7 @@
 
 
 class FetchFailure(Enum):
-    """Why a chunk did not come from a source."""
+    """The reason why a source did not deliver a chunk."""
 
     LOST = "lost"
     BUSY = "busy"
@@ -49,10 +49,10 @@
 
 @dataclass
 class NeighbourState:
-    """What is known of a linked neighbour; times are in seconds of the loop's clock.
+    """The state of a connected neighbour; times are in seconds of the loop's clock.
 
-    `offers` are those of its chunks that are missing here and not on their way. `left` is whether
-    it gave too many corrupt chunks to be asked again.
+    `requestable` holds those of its chunks that are missing here and not in flight. `is_excluded`
+    is set after it has sent too many corrupt chunks.
     """
 
     place: Place
@@ -70,7 +70,7 @@
 
 @dataclass
 class SourceState:
-    """How the origin or the weight store has been doing."""
+    """Recent failures of the origin or the weight store."""
 
     failures: int = 0
     backoff_until: float = 0.0
@@ -79,24 +79,24 @@
 
 @dataclass
 class Fetch:
-    """One chunk on its way from one source."""
+    """One chunk in flight from one source."""
 
     source: Source
     requested_at: float
     progress_at: float
 
     def to_in_flight(self) -> ChunkInFlight:
-        """Return what the pace of the link needs of it."""
+        """Return the fields that `LinkPacer` needs."""
         return ChunkInFlight(self.source, self.requested_at)
 
 
 @dataclass(frozen=True)
 class SpreadRules:
-    """The constants of the policy; times in seconds, sizes in bytes, rates in bytes per second.
+    """Parameters of chunk scheduling; times in seconds, rates in bytes per second.
 
-    `in_flight` bounds the chunks asked of one neighbour, `in_flight_total` of all together;
-    `has_store` tells whether there is a weight store beside the origin, `origin_bytes_per_s` the
-    rate of the origin's link where it is known.
+    `in_flight` limits the chunks requested from one neighbour, `in_flight_total` those from all
+    neighbours. `has_store` is whether a weight store exists in addition to the origin.
+    `origin_bytes_per_s` is the rate of the origin's link, None if unknown.
     """
 
     link_bytes_per_s: float
@@ -113,7 +113,7 @@
 
 
 class PlatformSources:
-    """The origin and the weight store: which of them to ask, with back-off after failures."""
+    """Choose between the origin and the weight store, with back-off after failures."""
 
     def __init__(self, rules: SpreadRules, rng: random.Random) -> None:
         self._rules = rules
@@ -124,28 +124,28 @@
 
     @property
     def failures(self) -> int:
-        """How often they failed since they last gave a chunk."""
+        """The number of failures since each last sent a chunk."""
         return sum(state.failures for state in self._states.values())
 
     @property
     def corrupt_sources(self) -> list[str]:
-        """Those that gave too many corrupt chunks."""
+        """The names of those that have sent too many corrupt chunks."""
         limit = self._rules.corrupt_limit
         return [
             SOURCE_NAMES[source] for source, state in self._states.items() if state.corrupt >= limit
         ]
 
     def pick(self, now: float) -> Source | None:
-        """Return the one to ask: the origin unless it failed lately; None when both did."""
+        """Return the source to use: the origin if it is not in back-off; None if both are."""
         usable = (source for source, state in self._states.items() if state.backoff_until <= now)
         return next(usable, None)
 
     def record_success(self, source: Source) -> None:
-        """Note a chunk that one of them gave."""
+        """Record a delivered chunk, which resets the back-off."""
         self._states[source].failures = 0
 
     def record_failure(self, source: Source, corrupt: bool, now: float) -> None:
-        """Leave one of them alone for a while, longer with each failure in a row."""
+        """Back off from a source, longer with each consecutive failure."""
         state = self._states[source]
         state.failures += 1
         state.corrupt += int(corrupt)
--- a/src/lacewinggw/decisions/columnfailover.py
+++ b/src/lacewinggw/decisions/columnfailover.py
@@ -1,30 +1,33 @@
-"""Whose turn it is to bring in a column: the first in rank, then the next while it stands still."""
+"""Decide which host imports a column: rank 0, or the next rank while there is no progress."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass
 class ColumnFailover:
-    """When each column last moved; times in seconds of the loop's clock.
+    """The time of the last progress of each column, in seconds of the loop's clock.
 
-    turns = ColumnTurns()
-    turns.begin(columns=8, now=now)
-    turns.has_turn(column=3, rank=1, patience_s=0.5, now=now)  # only once it stands still
+    failover = ColumnFailover()
+    failover.begin(columns=8, now=now)
+    failover.may_act(column=3, rank=1, patience_s=0.5, now=now)  # after 0.5 s without progress
     """
 
-    _moved_at: list[float] = field(default_factory=list)
+    _progress_at: list[float] = field(default_factory=list)
 
     def begin(self, columns: int, now: float) -> None:
-        """Begin with columns of which nothing has come."""
-        self._moved_at = [now] * columns
+        """Start the timers of all columns."""
+        self._progress_at = [now] * columns
 
     def record_progress(self, column: int, now: float) -> None:
-        """Note that a chunk of a column came to where it was missing."""
-        if self._moved_at:
-            self._moved_at[column] = now
+        """Record that a chunk of a column has newly become available."""
+        if self._progress_at:
+            self._progress_at[column] = now
 
     def may_act(self, column: int, rank: int | None, patience_s: float, now: float) -> bool:
-        """Return whether the host of a rank is to act: each waits once more for the one before."""
+        """Return whether the host of a rank is to import the column.
+
+        Rank 0 acts at once, rank `n` after `n` times `patience_s` without progress.
+        """
         if rank is None:
             return False
-        return rank == 0 or now - self._moved_at[column] >= rank * patience_s
+        return rank == 0 or now - self._progress_at[column] >= rank * patience_s
--- a/src/lacewinggw/decisions/commands.py
+++ b/src/lacewinggw/decisions/commands.py
@@ -1,7 +1,7 @@
-"""Whether a command may be accepted: repeated, in conflict, contradictory, or fine.
+"""Check whether a command may be accepted, or is repeated, in conflict or invalid.
 
-Pure checks of changes against the state they would follow. Each refusal is a typed error that shows
-what stands there now.
+Pure checks of changes against the state to which they would apply. Each refusal is a typed error
+that shows the current value.
 """
 
 from collections.abc import Sequence
@@ -47,7 +47,7 @@
 
 
 def describe_subject(state: FleetState, subject: Subject) -> str:
-    """Return the present value of a subject in words."""
+    """Return a description of the current value of a subject."""
     match subject.kind:
         case "service":
             service = state.services.get(subject.name)
@@ -62,7 +62,7 @@
 
 
 def describe_change(content: ChangeContent) -> str:
-    """Return the value that a change would set, in words."""
+    """Return a description of the value that a change would set."""
     match content:
         case CreateRelease():
             return f"digest {content.release.digest[:12]}"
@@ -79,7 +79,7 @@
 
 
 def find_accepted_entry(state: FleetState, command_id: str) -> LogEntry | None:
-    """Return the entry of a command that was accepted already."""
+    """Return the entry of a command that has already been accepted, or None."""
     revision = state.revision_of_command(command_id)
     return state.entry_at(revision) if revision is not None else None
 
@@ -87,68 +87,70 @@
 def check_within_history(
     state: FleetState, command_id: str, read_revision: int, repeated: bool
 ) -> None:
-    """Refuse a command that is too old to tell whether it was accepted before.
+    """Refuse a command that is based on a revision older than the history.
 
-    One that may have been given before raises `AcceptanceUnknown`: it may be in force. One that is
-    given for the first time raises `ConfigurationConflict`: what it is about may have moved.
+    Raises `AcceptanceUnknown` for a `repeated` command, which may have been accepted before, and
+    `ConfigurationConflict` for a new one, whose subject may have changed.
     """
     if read_revision >= state.history_base_revision:
         return
-    based = f"command {command_id} was based on revision {read_revision}"
-    known = f"only revisions after {state.history_base_revision} are remembered"
+    basis = f"command {command_id} was based on revision {read_revision}"
+    history = f"only revisions after {state.history_base_revision} are remembered"
     if repeated:
         raise AcceptanceUnknown(
-            f"{based}; {known}, so it may have been accepted long ago",
-            remedy="compare `show services` with what it says, and give it anew if need be",
+            f"{basis}; {history}, so it may have been accepted long ago",
+            remedy="compare `show services` with the command, and submit it again if needed",
         )
-    raise ConfigurationConflict(f"{based}; {known}")
+    raise ConfigurationConflict(f"{basis}; {history}")
 
 
 def check_command(state: FleetState, changes: Sequence[Change], read_revision: int) -> None:
-    """Raise the typed refusal of a command, or return when it may be accepted at the next revision.
+    """Check that a command may be accepted at the next revision.
 
-    Raises `ConfigurationConflict` when what it is about moved since `read_revision`, which must be
-    remembered, and the errors of `check_change`.
+    Raises `ConfigurationConflict` if a subject changed after `read_revision`, which must be in the
+    history, and the errors of `check_change`.
     """
     contents = [content_of(change) for change in changes]
     for content in contents:
-        _check_unmoved(state, content, read_revision)
+        _check_unchanged(state, content, read_revision)
     created = {each.release.name for each in contents if isinstance(each, CreateRelease)}
     for content in contents:
         check_change(state, content, created)
     _check_floors(state, contents)
 
 
-def _check_unmoved(state: FleetState, content: ChangeContent, read_revision: int) -> None:
+def _check_unchanged(state: FleetState, content: ChangeContent, read_revision: int) -> None:
     if isinstance(content, Place):
-        _check_placement_unmoved(state, content, read_revision)
+        _check_placement_current(state, content, read_revision)
         return
     subject = subject_of(content)
-    moved = state.last_changed_revision(subject)
-    if moved <= read_revision:
+    changed_revision = state.last_changed_revision(subject)
+    if changed_revision <= read_revision:
         return
-    entry = state.entry_at(moved)
+    entry = state.entry_at(changed_revision)
     author = f" (by {entry.author})" if entry is not None else ""
     current = describe_subject(state, subject) + author
-    wanted = describe_change(content)
-    raise ConfigurationConflict.between(f"{subject.kind} {subject.name}", wanted, current, moved)
+    requested = describe_change(content)
+    raise ConfigurationConflict.between(
+        f"{subject.kind} {subject.name}", requested, current, changed_revision
+    )
 
 
-def _check_placement_unmoved(state: FleetState, place: Place, read_revision: int) -> None:
-    """Refuse a placement that was computed before something it depends on was accepted."""
+def _check_placement_current(state: FleetState, place: Place, read_revision: int) -> None:
+    """Refuse a placement that was computed before an entry on which it depends."""
     for entry in reversed(state.history):
         if entry.revision <= read_revision:
             return
         contents = (content_of(change) for change in entry.changes)
-        if any(_moves_placement(content, place.service_name) for content in contents):
+        if any(_invalidates_placement(content, place.service_name) for content in contents):
             raise ConfigurationConflict(
                 f"the placement of {place.service_name} was computed at revision {read_revision}; "
-                f"revision {entry.revision} came since",
+                f"revision {entry.revision} was accepted since",
             )
 
 
-def _moves_placement(content: ChangeContent, service: str) -> bool:
-    """Return whether a change could make a placement of a service wrong."""
+def _invalidates_placement(content: ChangeContent, service: str) -> bool:
+    """Return whether a change may invalidate a placement of a service."""
     match content:
         case CreateRelease():
             return False
@@ -159,7 +161,10 @@
 
 
 def check_change(state: FleetState, content: ChangeContent, created: set[str]) -> None:
-    """Raise the refusal of one change; `created` names the releases made by the same command."""
+    """Check one change; `created` has the names of releases created by the same command.
+
+    Raises `AlreadyExists`, `InvalidChange`, `StillInUse` or `UnknownName`.
+    """
     match content:
         case CreateRelease():
             _check_new_release(state, content)
@@ -175,9 +180,9 @@
             _require_name("service", content.service_name, state.services)
 
 
-def _require_name(kind: str, name: str, known: object) -> None:
-    assert hasattr(known, "__contains__")
-    if name not in known:
+def _require_name(kind: str, name: str, names: object) -> None:
+    assert hasattr(names, "__contains__")
+    if name not in names:
         raise UnknownName(f"there is no {kind} {name}")
 
 
@@ -249,20 +254,20 @@
 def _check_floors(state: FleetState, contents: Sequence[ChangeContent]) -> None:
     """Refuse drains that would leave a service below its declared floor."""
     drained = {each.host for each in contents if isinstance(each, SetDrain) and each.draining}
-    touched = {service for host in drained for service, _ in state.assignments_of(host)}
-    for name in sorted(touched):
+    affected = {service for host in drained for service, _ in state.assignments_of(host)}
+    for name in sorted(affected):
         service = state.services.get(name)
         if service is None:
             continue
         declared = sum(goal.replicas for goal in service.goals)
-        staying = [
+        remaining = [
             host
             for host in state.hosts_of(name)
             if host not in drained and host not in state.draining
         ]
-        if len(staying) * PERCENT < declared * service.floor_percent:
+        if len(remaining) * PERCENT < declared * service.floor_percent:
             raise InvalidChange(
-                f"draining {', '.join(sorted(drained))} leaves {name} {len(staying)} of "
+                f"draining {', '.join(sorted(drained))} leaves {name} {len(remaining)} of "
                 f"{declared} replicas; its floor is {service.floor_percent}%",
                 remedy="drain fewer hosts at once, wait until the replacements serve, "
                 f"or lower the floor: `set service {name} floor 0%`",
--- a/src/lacewinggw/decisions/lifecycle.py
+++ b/src/lacewinggw/decisions/lifecycle.py
@@ -1,7 +1,7 @@
-"""What an agent does next to bring its target to the release that the configuration names.
+"""The next step of an agent that brings its target to the configured release.
 
-Level-triggered: the whole decision is made anew from what is wanted and what was read back from the
-target, so that a lost order, a restarted engine or a replaced agent needs no case of its own.
+Level-triggered: each decision is derived from the desired state and the state read back from the
+target alone, so a lost order, a restarted engine or a replaced agent needs no special case.
 """
 
 from collections.abc import Collection
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True)
 class DesiredState:
-    """One host's part in the configuration.
+    """What the configuration assigns to one host.
 
-    `digest` is what it is to serve, empty for a plain service. `next_digest` is what it is to have
-    loaded beside it for its turn to change over, empty when there is no change under way. `role`
-    and `adapters` are those of the service, as the engine names them.
+    `digest` is the release to serve, empty for a plain service. `next_digest` is the release to
+    load in addition, so that the host can change over when its wave comes; empty when no change is
+    under way. `role` and `adapters` are those of the service, as the engine names them.
     """
 
     service: str
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True)
 class StagingProgress:
-    """How far one release has come on its way to the target.
+    """The transfer progress of one release to the target.
 
-    `held` counts its verified chunks at this agent, `staged` those of them handed to the target;
+    `held` counts the verified chunks that this agent has, `staged` those sent to the target.
     `chunk_count` is 0 until the manifest is known.
     """
 
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True)
 class ObservedState:
-    """What the target reports, and how far the release that is to come in next is.
+    """What the target reports, and the progress of the release to load next.
 
-    `progress` is that of `incoming_digest` for the same wanted part.
+    `progress` is that of the release that `incoming_digest` returns for the same desired state.
     """
 
     reachable: bool
@@ -59,9 +59,9 @@
 
 @dataclass(frozen=True)
 class WaitForChange:
-    """Nothing can be done until something changes; `reason` tells what.
+    """Do nothing until the state changes; `reason` names the missing condition.
 
-    `serving` here and below tells that the target meanwhile runs what it is to serve.
+    `serving`, also in the steps below, is whether the target runs the desired release meanwhile.
     """
 
     reason: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Stage:
-    """Hand the verified chunks that the target lacks to it."""
+    """Send the verified chunks that the target lacks."""
 
     digest: str
     serving: bool = False
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Order the target to load a release whose chunks it all has."""
+    """Order the target to load a release of which it has all chunks."""
 
     digest: str
     serving: bool = False
@@ -86,23 +86,23 @@
 
 @dataclass(frozen=True)
 class Activate:
-    """End the requests on the old release, then order the new one active and read it back."""
+    """Drain the requests on the old release, order the new one active and read it back."""
 
     digest: str
 
 
 @dataclass(frozen=True)
 class Serve:
-    """The target runs what is wanted: offer it requests."""
+    """Offer the target requests; it runs the desired release."""
 
     digest: str
 
 
 @dataclass(frozen=True)
 class Reconfigure:
-    """End the requests in progress, then order the role and adapters that differ.
+    """Drain the requests in progress, then order the role and adapters that differ.
 
-    `load` and `drop` name adapters; `role` is empty when it is as wanted.
+    `load` and `drop` name adapters; `role` is empty when it needs no change.
     """
 
     role: str
@@ -112,21 +112,24 @@
 
 @dataclass(frozen=True)
 class Unload:
-    """Order the target to free the memory of releases no longer wanted."""
+    """Order the target to free the memory of releases that are no longer needed."""
 
     digests: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class Retire:
-    """Nothing is wanted of this target: end its requests and offer it no more."""
+    """Drain the target and offer it no more requests; it has no assignment."""
 
 
 Step: TypeAlias = WaitForChange | Stage | Load | Activate | Reconfigure | Serve | Unload | Retire
 
 
 def incoming_digest(desired: DesiredState | None, active: str, loaded: Collection[str]) -> str:
-    """Return the digest that the target lacks, the one it is to serve first; empty if none."""
+    """Return the digest of the release to load next, empty if none.
+
+    The release to serve comes before the one to change over to.
+    """
     if desired is None:
         return ""
     if desired.digest and desired.digest != active and desired.digest not in loaded:
@@ -137,9 +140,9 @@
 
 
 def next_step(desired: DesiredState | None, observed: ObservedState) -> Step:
-    """Return the next step from `observed` towards `wanted`.
+    """Return the next step from `observed` towards `desired`.
 
-    next_step(Wanted("desk", "", ""), Observed(reachable=True)) is Serve("").
+    next_step(DesiredState("desk", "", ""), ObservedState(reachable=True)) is Serve("").
     """
     if not observed.reachable:
         return WaitForChange("the target does not answer")
@@ -148,34 +151,34 @@
     serving = observed.active == desired.digest
     if not serving and desired.digest in observed.loaded:
         return Activate(desired.digest)
-    if desired.digest and serving and not _is_adapted(desired, observed):
-        return _adapt(desired, observed)
+    if desired.digest and serving and not _is_configured(desired, observed):
+        return _reconfigure(desired, observed)
     surplus = observed.loaded - {desired.digest, desired.next_digest}
     if serving and surplus:
         return Unload(tuple(sorted(surplus)))
     incoming = incoming_digest(desired, observed.active, observed.loaded)
     if not incoming:
         return Serve(desired.digest)
-    return _bring_in(incoming, observed.progress, serving)
+    return _load_step(incoming, observed.progress, serving)
 
 
-def _is_adapted(wanted: DesiredState, observed: ObservedState) -> bool:
-    return (wanted.role, wanted.adapters) == (observed.role, observed.adapters)
+def _is_configured(desired: DesiredState, observed: ObservedState) -> bool:
+    return (desired.role, desired.adapters) == (observed.role, observed.adapters)
 
 
-def _adapt(wanted: DesiredState, observed: ObservedState) -> Reconfigure:
+def _reconfigure(desired: DesiredState, observed: ObservedState) -> Reconfigure:
     return Reconfigure(
-        wanted.role if wanted.role != observed.role else "",
-        tuple(sorted(wanted.adapters - observed.adapters)),
-        tuple(sorted(observed.adapters - wanted.adapters)),
+        desired.role if desired.role != observed.role else "",
+        tuple(sorted(desired.adapters - observed.adapters)),
+        tuple(sorted(observed.adapters - desired.adapters)),
     )
 
 
-def _bring_in(digest: str, progress: StagingProgress, serving: bool) -> Step:
+def _load_step(digest: str, progress: StagingProgress, serving: bool) -> Step:
     if progress.chunk_count == 0:
-        return WaitForChange("the manifest is not here yet", serving)
+        return WaitForChange("the manifest has not arrived", serving)
     if progress.staged < progress.held:
         return Stage(digest, serving)
     if progress.staged == progress.chunk_count:
         return Load(digest, serving)
-    return WaitForChange(f"{progress.held} of {progress.chunk_count} chunks are here", serving)
+    return WaitForChange(f"{progress.held} of {progress.chunk_count} chunks have arrived", serving)
--- a/src/lacewinggw/decisions/peerselection.py
+++ b/src/lacewinggw/decisions/peerselection.py
@@ -1,7 +1,8 @@
-"""Which entries read the log's tail from the store, and whom each entry hears news from.
+"""Choose the entries that read the log's tail from the store, and the upstreams of the others.
 
-Pure, and worked out by each entry from its own view of the list. Views that differ for a while cost
-a few reads more or less, never a change missed: whoever does not read the store asks a neighbour.
+Pure; each entry decides from its own copy of the list of entries. Copies that differ for a while
+cost a few reads more or less but miss no change: an entry that does not read the store asks a
+neighbour.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """One process on the list, as far as these choices need it."""
+    """A listed process, with the fields that these choices need."""
 
     host: str
     place: str
@@ -28,7 +29,7 @@
 
 
 def rendezvous_order(purpose: str, hosts: Iterable[str]) -> list[str]:
-    """Return hosts in the order in which they are to act for a purpose."""
+    """Return hosts by descending rendezvous weight for a purpose."""
     return sorted(hosts, key=lambda host: (-rendezvous_weight(purpose, host), host))
 
 
@@ -39,33 +40,32 @@
 
 
 def is_log_reader(host: str, place: str, entries: Sequence[Candidate]) -> bool:
-    """Return whether an entry is one of the few in its place that read the log's tail."""
-    beside = [entry.host for entry in entries if entry.place == place and entry.host != host]
-    return rendezvous_rank("log-reader", host, beside) < READERS_PER_PLACE
+    """Return whether an entry is among the `READERS_PER_PLACE` that read the log's tail."""
+    others = [entry.host for entry in entries if entry.place == place and entry.host != host]
+    return rendezvous_rank("log-reader", host, others) < READERS_PER_PLACE
 
 
 def order_entry_upstreams(host: str, entries: Sequence[Candidate]) -> list[Candidate]:
-    """Return all other entries, those to hear news from first.
+    """Return all other entries in the order in which an entry subscribes to them.
 
-    The first is the next on the ring of hosts, which alone would reach everyone; the others are
-    drawn by rendezvous hash, which makes the way short.
+    The first is the successor on the ring of hosts, which alone would carry updates to
+    every entry. The others are ordered by rendezvous hash, which keeps the number of hops low.
     """
     others = sorted((entry for entry in entries if entry.host != host), key=lambda each: each.host)
     if not others:
         return []
     successor = next((entry for entry in others if entry.host > host), others[0])
-    drawn = sorted(
+    ranked = sorted(
         (entry for entry in others if entry is not successor),
         key=lambda entry: rendezvous_weight(f"news-for-{host}", entry.host),
     )
-    return [successor, *drawn]
+    return [successor, *ranked]
 
 
 def order_agent_upstreams(host: str, place: str, entries: Sequence[Candidate]) -> list[Candidate]:
-    """Return entries in the order in which an agent is to subscribe: one of its place first.
+    """Return entries in the order in which an agent subscribes: one of its place first.
 
-    The second is of another place where there is one, so that the loss of a place leaves news
-    coming.
+    The second is in another place if there is one, so that updates continue if a place fails.
     """
     order = sorted(entries, key=lambda entry: rendezvous_weight(f"news-for-{host}", entry.host))
     near = [entry for entry in order if entry.place == place]
--- a/src/lacewinggw/decisions/placement.py
+++ b/src/lacewinggw/decisions/placement.py
@@ -1,9 +1,10 @@
-"""Which hosts serve which release of which service.
+"""Plan which hosts serve which release of which service.
 
-Pure: from the declarations, the present placement and what is known of the hosts, the fewest
-changes that give each service its declared replicas. A host that serves what it should is never
-moved, not even to spread a service better; new hosts are taken from the places that have fewest.
-A host that serves another release of its service goes on with it until its turn to change over.
+Pure: computes, from the declarations, the present placement and the list of hosts, the fewest
+changes that give each service its declared replicas. A host that serves a declared release is
+never moved, not even to balance a service over places; new hosts come from the places that have
+the fewest. A host that serves another release of its service keeps serving it until its wave
+changes over.
 """
 
 from collections import Counter
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True)
 class HostInfo:
-    """What an entry knows of a target host; `service` is that of a plain target, else ""."""
+    """A listed target host; `service` is that of a plain target, else empty."""
 
     host: str
     place: str
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Shortfall:
-    """Replicas that a service should have and no host is there for."""
+    """Declared replicas of a service for which no host is available."""
 
     service: str
     release: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class PlacementPlan:
-    """The placements to commit together, and what cannot be placed for want of hosts."""
+    """The placements to commit together, and the replicas that lack a host."""
 
     places: list[Place] = field(default_factory=list)
     shortfalls: list[Shortfall] = field(default_factory=list)
@@ -52,20 +53,20 @@
 def plan_placement(
     state: FleetState, hosts: Mapping[str, HostInfo], dead_hosts: Collection[str] = ()
 ) -> PlacementPlan:
-    """Return what has to change so that every service has its declared replicas.
+    """Return the changes that give every service its declared replicas.
 
-    `hosts` is the list of target hosts; `lost` names hosts that count as dead. A host in neither is
-    left as it is placed: it may only be missing from a list that lags. Services first use the hosts
-    they have; what they let go is there for the others.
+    `hosts` lists the target hosts, `dead_hosts` those that count as dead. A host in neither keeps
+    its placement: it may only be missing from a list that lags. Each service first uses its own
+    hosts; those it releases are then available to the others.
     """
     drafts = [
         _Draft(state, state.services[name], hosts, dead_hosts) for name in sorted(state.services)
     ]
     for draft in drafts:
         draft.reuse_own_hosts()
-    taken = {host for host in state.placed_hosts() if host not in dead_hosts}
-    taken.difference_update(host for draft in drafts for host in draft.let_go())
-    free = _free_hosts(state, hosts, dead_hosts, taken)
+    occupied = {host for host in state.placed_hosts() if host not in dead_hosts}
+    occupied.difference_update(host for draft in drafts for host in draft.released_hosts())
+    free = _free_hosts(state, hosts, dead_hosts, occupied)
     for draft in drafts:
         draft.take_free_hosts(free)
     places = [place for draft in drafts if (place := draft.place()) is not None]
@@ -75,7 +76,7 @@
 def is_fully_placed(
     state: FleetState, service: str, hosts: Mapping[str, HostInfo], dead_hosts: Collection[str]
 ) -> bool:
-    """Return whether a service needs no change of placement, looking at its own hosts alone."""
+    """Return whether the placement of a service needs no change, from its own hosts alone."""
     declared = state.services.get(service)
     if declared is None:
         return not state.hosts_of(service)
@@ -86,68 +87,75 @@
 
 
 class _Draft:
-    """The placement of one service as it is worked out."""
+    """The placement of one service while it is being planned."""
 
     def __init__(
         self,
         state: FleetState,
         service: Service,
         hosts: Mapping[str, HostInfo],
-        lost: Collection[str],
+        dead_hosts: Collection[str],
     ) -> None:
         self._service = service
         self._hosts = hosts
-        self._lost = lost
+        self._dead_hosts = dead_hosts
         self._wanted = _wanted_replicas(service)
         self._current = state.hosts_of(service.name)
         self._present = state.final_releases_of(service.name)
-        self._unusable = {host for host in self._present if _is_unusable(state, hosts, lost, host)}
+        self._unusable = {
+            host for host in self._present if _is_unusable(state, hosts, dead_hosts, host)
+        }
         staying = {host: r for host, r in self._present.items() if host not in self._unusable}
         self._assigned = _choose_kept(service.name, staying, self._wanted, hosts)
         self._spare = {host for host in staying if host not in self._assigned}
 
     def reuse_own_hosts(self) -> None:
-        """Have hosts that serve a release too many of them serve one that has too few."""
+        """Reassign hosts of releases that have too many replicas to those that have too few."""
         self._fill(self._spare)
 
-    def let_go(self) -> set[str]:
-        """Return the hosts that this service needs no more, and that others may have."""
+    def released_hosts(self) -> set[str]:
+        """Return the hosts that this service no longer needs and others may use."""
         return self._spare
 
     def take_free_hosts(self, free: dict[str, set[str]]) -> None:
-        """Fill what is missing from hosts that nobody uses; these are taken off `free`."""
+        """Assign unused hosts to missing replicas, and remove these hosts from `free`."""
         target = self._service.name if self._service.kind == ServiceKind.PLAIN else ""
         self._fill(free.get(target, set()))
         for release in self._wanted:
-            waiting = _waiting(self._present, self._lost, release)
-            self._assigned.update(dict.fromkeys(waiting[: self._missing(release)], release))
+            dead = _dead_hosts_of(self._present, self._dead_hosts, release)
+            self._assigned.update(dict.fromkeys(dead[: self._missing(release)], release))
 
     def shortfalls(self) -> list[Shortfall]:
-        """Return what could not be placed on a live host."""
+        """Return the replicas that have no live host."""
         found = []
         for release, replicas in self._wanted.items():
-            live = [h for h, r in self._assigned.items() if r == release and h not in self._lost]
+            live = [
+                h for h, r in self._assigned.items() if r == release and h not in self._dead_hosts
+            ]
             if len(live) < replicas:
                 found.append(Shortfall(self._service.name, release, replicas - len(live)))
         return found
 
     def place(self) -> Place | None:
-        """Return the change from the present placement, None when there is none."""
+        """Return the change to the present placement, or None."""
         name = self._service.name
-        fresh = [
+        added = [
             self._assign(host, release)
             for host, release in sorted(self._assigned.items())
             if self._present.get(host) != release
         ]
         released = sorted(host for host in self._present if host not in self._assigned)
-        if not fresh and not released:
+        if not added and not released:
             return None
-        gone = [host for host in released if host in self._unusable]
-        cause = f"replaces {', '.join(gone)}" if gone else "declared replicas"
-        return Place(name, fresh, cause, released)
+        replaced = [host for host in released if host in self._unusable]
+        cause = f"replaces {', '.join(replaced)}" if replaced else "declared replicas"
+        return Place(name, added, cause, released)
 
     def _assign(self, host: str, release: str) -> Assignment:
-        """Return the assignment that brings a host to a release, by way of its turn."""
+        """Return the assignment of a host to a release.
+
+        A host that serves another release keeps it as the current one, with this as the next.
+        """
         current = self._current.get(host, release)
         return Assignment(host, self._service.name, current, "" if current == release else release)
 
@@ -155,7 +163,7 @@
         return self._wanted[release] - sum(1 for r in self._assigned.values() if r == release)
 
     def _fill(self, pool: set[str]) -> None:
-        """Take what is missing from a pool, each host from the place that has the fewest."""
+        """Assign hosts of a pool to missing replicas, each from the place that has the fewest."""
         missing = {release: self._missing(release) for release in self._wanted}
         if not pool or not any(count > 0 for count in missing.values()):
             return
@@ -181,9 +189,9 @@
 
 
 def _is_unusable(
-    state: FleetState, hosts: Mapping[str, HostInfo], lost: Collection[str], host: str
+    state: FleetState, hosts: Mapping[str, HostInfo], dead_hosts: Collection[str], host: str
 ) -> bool:
-    if host in lost or host in state.draining:
+    if host in dead_hosts or host in state.draining:
         return True
     fact = hosts.get(host)
     return fact is not None and fact.is_leaving
@@ -192,12 +200,12 @@
 def _choose_kept(
     service: str,
     staying: Mapping[str, str],
-    wanted: Mapping[str, int],
+    declared: Mapping[str, int],
     hosts: Mapping[str, HostInfo],
 ) -> dict[str, str]:
-    """Keep hosts that serve what is wanted; where there are too many, those that spread best."""
+    """Return the hosts to keep per declared release; an excess is cut from the fullest places."""
     kept: dict[str, str] = {}
-    for release, replicas in wanted.items():
+    for release, replicas in declared.items():
         serving = {host for host, each in staying.items() if each == release}
         queues = _queues_by_place(service, serving, hosts)
         for _ in range(len(serving) - replicas):
@@ -210,14 +218,14 @@
 def _free_hosts(
     state: FleetState,
     hosts: Mapping[str, HostInfo],
-    lost: Collection[str],
-    taken: Collection[str],
+    dead_hosts: Collection[str],
+    occupied: Collection[str],
 ) -> dict[str, set[str]]:
-    """Return the listed hosts that serve nothing and could, by the service of plain targets."""
+    """Return the usable hosts that serve nothing, keyed by `HostInfo.service`."""
     free: dict[str, set[str]] = {}
     for host, fact in hosts.items():
-        usable = not fact.is_leaving and host not in state.draining and host not in lost
-        if usable and host not in taken:
+        usable = not fact.is_leaving and host not in state.draining and host not in dead_hosts
+        if usable and host not in occupied:
             free.setdefault(fact.service, set()).add(host)
     return free
 
@@ -225,7 +233,7 @@
 def _queues_by_place(
     service: str, pool: Iterable[str], hosts: Mapping[str, HostInfo]
 ) -> QueuesByPlace:
-    """Return the hosts of a pool by place, with their weights, the first to be taken last."""
+    """Return the hosts of a pool by place, with their weights; the preferred host is last."""
     queues: QueuesByPlace = {}
     for host in pool:
         queues.setdefault(_place_of(hosts, host), []).append(
@@ -237,16 +245,21 @@
 
 
 def _best_place(queues: QueuesByPlace, of_release: Counter[str], of_service: Counter[str]) -> str:
-    """Return the place with a host to take that has the fewest of a release, then of a service."""
+    """Return the place from which to take the next host.
+
+    Among places with hosts left, it has the fewest of the release, then of the service.
+    """
     return min(
         (place for place, queue in queues.items() if queue),
         key=lambda place: (of_release[place], of_service[place], queues[place][-1]),
     )
 
 
-def _waiting(present: Mapping[str, str], lost: Collection[str], release: str) -> list[str]:
-    """Return dead hosts that keep their place where nothing replaces them: they may come back."""
-    return sorted(host for host, each in present.items() if each == release and host in lost)
+def _dead_hosts_of(
+    present: Mapping[str, str], dead_hosts: Collection[str], release: str
+) -> list[str]:
+    """Return the dead hosts of a release, which may come back if nothing replaces them."""
+    return sorted(host for host, each in present.items() if each == release and host in dead_hosts)
 
 
 def _place_of(hosts: Mapping[str, HostInfo], host: str) -> str:
--- a/src/lacewinggw/decisions/revisions.py
+++ b/src/lacewinggw/decisions/revisions.py
@@ -1,8 +1,8 @@
 """The configuration at one revision, and how entries of the log change it.
 
-Pure: every process that applies the same entries in the same order has the same state, whatever it
-knew before. Memory is bounded: only the newest entries are remembered, by which a repeated command
-is recognised; what a command may rely on is checked against that window.
+Pure: every process that applies the same entries in the same order has the same state. Memory is
+bounded: only the newest entries are kept. They serve to recognise a repeated command, and to check
+that what a command is based on has not changed since it was read.
 """
 
 from collections import deque
@@ -34,12 +34,12 @@
 
 
 class RevisionOutOfOrder(Exception):
-    """An entry that does not follow directly on the state it was to be applied to."""
+    """An entry does not have the revision that follows the state's."""
 
 
 @dataclass(frozen=True)
 class Subject:
-    """What a change is about; two changes of one subject can be in conflict."""
+    """The object that a change modifies; two changes of one subject can conflict."""
 
     kind: str
     name: str
@@ -74,7 +74,7 @@
 
 
 def subject_of(content: ChangeContent) -> Subject:
-    """Return what a change is about."""
+    """Return the subject of a change."""
     match content:
         case CreateRelease():
             return Subject("release", content.release.name)
@@ -91,12 +91,12 @@
 
 
 def is_placement_only(entry: LogEntry) -> bool:
-    """Return whether an entry only places, as entries do by themselves."""
+    """Return whether an entry has only placements, which entry processes commit by themselves."""
     return all(change.place is not None for change in entry.changes)
 
 
 def may_change_placements(entries: Sequence[LogEntry]) -> bool:
-    """Return whether entries may change which hosts serve what; none stand for a whole state."""
+    """Return whether entries may change placements; an empty list stands for a snapshot."""
     contents = (content_of(change) for entry in entries for change in entry.changes)
     return not entries or any(
         isinstance(content, Place | RemoveService | SetDrain) for content in contents
@@ -104,7 +104,7 @@
 
 
 def declares_any(entries: Sequence[LogEntry], services: Container[str]) -> bool:
-    """Return whether entries declare one of these services anew."""
+    """Return whether entries declare one of these services."""
     contents = (content_of(change) for entry in entries for change in entry.changes)
     return any(
         isinstance(content, PutService) and content.declared.name in services
@@ -113,7 +113,7 @@
 
 
 def to_history_entry(entry: LogEntry) -> LogEntry:
-    """Return an entry without its assignments, which would make the history large."""
+    """Return an entry without its assignments, which would make the history too large."""
     if not any(change.place is not None for change in entry.changes):
         return entry
     changes = [_without_assignments(change) for change in entry.changes]
@@ -136,7 +136,7 @@
 
 
 def with_revision(service: Service, revision: int) -> Service:
-    """Return a copy of a declaration that bears the revision it was accepted at."""
+    """Return a copy of a declaration with the revision at which it was accepted."""
     return Service(
         service.name,
         service.kind,
@@ -154,9 +154,9 @@
 class FleetState:
     """The whole configuration at `revision`.
 
-    `placements` maps each service to its hosts and the release each is to serve, `""` for a plain
-    service; `upcoming` holds the next release of those hosts that are to change over. Read it
-    freely; only `apply` changes it.
+    `placements` maps each service to its hosts and the release that each serves, `""` for a plain
+    service. `upcoming` has the next release of the hosts that are to change over. Only `apply`
+    modifies the state.
     """
 
     def __init__(self) -> None:
@@ -182,17 +182,17 @@
         for place in snapshot.placements:
             state._place(place)
         for entry in snapshot.recent:
-            state._remember(entry)
+            state._add_to_history(entry)
         return state
 
     def to_snapshot(self) -> Snapshot:
-        """Return the state as a message, the same for the same revision wherever it is made."""
+        """Return the state as a message; it is identical for the same revision in every process."""
         return Snapshot(
             self.revision,
             [self.releases[name] for name in sorted(self.releases)],
             [self.services[name] for name in sorted(self.services)],
             sorted(self.draining),
-            [self._whole_placement(name) for name in sorted(self.placements)],
+            [self._to_place(name) for name in sorted(self.placements)],
             list(self.history),
         )
 
@@ -203,32 +203,32 @@
         for change in entry.changes:
             self._apply_content(content_of(change), entry.revision)
         self.revision = entry.revision
-        self._remember(to_history_entry(entry))
+        self._add_to_history(to_history_entry(entry))
 
     @property
     def history_base_revision(self) -> int:
-        """The revision after which every command is remembered."""
+        """The revision before the oldest one in the history."""
         return self.revision - len(self.history)
 
     def revision_of_command(self, command_id: str) -> int | None:
-        """Return the revision at which a remembered command was accepted."""
+        """Return the revision at which a command in the history was accepted, or None."""
         return self._commands.get(command_id)
 
     def entry_at(self, revision: int) -> LogEntry | None:
-        """Return a remembered entry, without its assignments."""
+        """Return an entry of the history, without its assignments, or None."""
         index = revision - self.history_base_revision - 1
         return self.history[index] if 0 <= index < len(self.history) else None
 
     def last_changed_revision(self, subject: Subject) -> int:
-        """Return the last remembered revision that changed a subject, 0 for none."""
+        """Return the last revision in the history that changed a subject, 0 if there is none."""
         return self._changed.get(subject, 0)
 
     def assignments_of(self, host: str) -> list[tuple[str, str]]:
-        """Return the (service, release) pairs that a host is to serve."""
+        """Return the (service, release) pairs assigned to a host."""
         return list(self._by_host.get(host, {}).items())
 
     def hosts_of(self, service: str) -> Assignments:
-        """Return the hosts of a service and the release each is to serve."""
+        """Return the hosts of a service and the release that each serves."""
         return self.placements.get(service, {})
 
     def next_releases_of(self, service: str) -> Assignments:
@@ -236,11 +236,11 @@
         return self.upcoming.get(service, {})
 
     def final_releases_of(self, service: str) -> Assignments:
-        """Return the hosts of a service and the release each comes to in the end."""
+        """Return the hosts of a service and the release of each after it has changed over."""
         return {**self.hosts_of(service), **self.next_releases_of(service)}
 
     def placed_hosts(self) -> KeysView[str]:
-        """Return every host that serves anything."""
+        """Return every host that has an assignment."""
         return self._by_host.keys()
 
     def release_digest(self, name: str) -> str:
@@ -290,7 +290,7 @@
             if not served:
                 self._by_host.pop(host, None)
 
-    def _whole_placement(self, service: str) -> Place:
+    def _to_place(self, service: str) -> Place:
         hosts = self.placements[service]
         upcoming = self.next_releases_of(service)
         assignments = [
@@ -298,15 +298,15 @@
         ]
         return Place(service, assignments, "", [])
 
-    def _remember(self, entry: LogEntry) -> None:
+    def _add_to_history(self, entry: LogEntry) -> None:
         self.history.append(entry)
         self._commands[entry.command_id] = entry.revision
         for change in entry.changes:
             self._changed[subject_of(content_of(change))] = entry.revision
         if len(self.history) > HISTORY_LENGTH:
-            self._forget(self.history.popleft())
+            self._remove_from_history(self.history.popleft())
 
-    def _forget(self, entry: LogEntry) -> None:
+    def _remove_from_history(self, entry: LogEntry) -> None:
         if self._commands.get(entry.command_id) == entry.revision:
             del self._commands[entry.command_id]
         for change in entry.changes:
--- a/src/lacewinggw/decisions/routereaders.py
+++ b/src/lacewinggw/decisions/routereaders.py
@@ -1,10 +1,10 @@
-"""Which entries read the routes from the store, whom the others ask, and who fetches from afar.
+"""Choose which entries read the routes from the store, and which peers the others query.
 
-Routes are large, some hundred KB, and the borders between regions narrow. So few entries of a place
-read them, the others have them from these, and they cross a border once a place. Each entry works
-out its rank from those that it has heard lately; whoever is silent for a while is out of the order.
-Entries of higher ranks step in later, twice as many at each step, so that many entries whose first
-ones fail do not fill a border with copies for each of them.
+Routes are large, some hundred KB, and the links between regions slow. So a few entries of each
+place read them, the others fetch them from these, and they cross a border once per place. Each
+entry computes its rank among the peers it has recently received messages from; a silent peer drops
+out of the order. Entries of higher rank act later, in groups that double in size, so that a failure
+of the first ones does not fill a border with one copy for each remaining entry.
 """
 
 import math
@@ -15,28 +15,30 @@
 from lacewinggw.ids import Address, HostId, Place
 
 PURPOSE = "routes reader"
-READERS_PER_PLACE = 2  # entries that read the routes, for one may be turned away by the store
-QUERIED_PEERS = 2  # entries: the reader of this place and one of another
-# Routes that are read, or vouched for, are not older than this: a wait of the reader and the time
-# in which it lets changes gather, 1.6 s, the time between two questions, 0.8 s, and a way of 0.2 s.
+READERS_PER_PLACE = 2  # two, because the store may reject one of them
+QUERIED_PEERS = 2  # one reader in this place and one in another
+# The maximum age of routes that a reader reads or confirms: 1.6 s for its wait and its batching of
+# changes, 0.8 s between two queries and 0.2 s of latency.
 CONFIRMED_MAX_AGE_S = 2.6
-# A list of targets that another entry read so long ago, and that is the same here, is not read: all
-# entries would read it each 1.2 s, as heartbeats of targets change it. A leaving target is told at
-# once; should that fail, it is seen within this, a read, and well before the 2 s after which it may
-# get nothing.
+# An entry skips reading a list of targets that another entry read within this time with the same
+# digest. Otherwise every entry would read it every 1.2 s, as heartbeats of targets change it. A
+# leaving target is announced at once; if that fails, the list shows it within this time and one
+# read, well before the 2 s after which it must get no requests.
 LIST_CONFIRMED_MAX_AGE_S = 1.3
-READ_STAGGER_S = 0.2  # a read takes some ms; the last of 63 entries reads a second after the first
-# Half a second is enough for 50 KB over a border with 1 Mbit/s left. Where the first entry of a
-# place fails, the next one still has the routes within the shortest bound on changes, 2 s.
+READ_STAGGER_S = 0.2  # a read takes some ms; the last of 63 entries reads 1 s after the first
+# Enough for 50 KB over a border with 1 Mbit/s to spare. If the first entry of a place fails, the
+# next one still has the routes within the shortest bound on changes, 2 s.
 FETCH_STAGGER_S = 0.5
-# At the start of many entries at once: a whole copy from the store, and its way through the place.
+# For many entries that start at once: a full copy from the store and its distribution in the place.
 START_STAGGER_S = 0.3
-LIST_WAIT_S = 0.2  # for the list of entries, a few KB, by which an entry that starts knows its rank
+LIST_WAIT_S = (
+    0.2  # for the list of entries, a few KB, from which a starting entry computes its rank
+)
 
 
 @dataclass(frozen=True)
 class LocalEntry:
-    """This entry's host and place."""
+    """The host and place of this entry."""
 
     host: HostId
     place: Place
@@ -44,10 +46,10 @@
 
 @dataclass(frozen=True)
 class PeerEntry:
-    """Another entry that was heard lately, ready or not, and where it listens for this one.
+    """Another entry that has recently sent a message, ready or not, and its peer address.
 
-    Its routes were `routes_age_s` old when it was heard, and are that much older by now; its list
-    of targets, which has the digest `targets_digest`, is `targets_age_s` old.
+    Its routes are `routes_age_s` old, the time since its message included. Its list of targets has
+    the digest `targets_digest` and is `targets_age_s` old.
     """
 
     host: HostId
@@ -59,61 +61,62 @@
 
 
 def reader_sort_key(host: HostId) -> tuple[int, HostId]:
-    """Return a key that sorts entries by who reads the routes first."""
+    """Return the key by which entries are sorted for reading the routes."""
     return (-rendezvous_weight(PURPOSE, host), host)
 
 
-def rank_in_place(me: LocalEntry, others: Iterable[PeerEntry]) -> int:
-    """Return how many of the entries heard in this place come before this one."""
-    near = [entry.host for entry in others if entry.place == me.place]
-    return sum(1 for host in near if reader_sort_key(host) < reader_sort_key(me.host))
+def rank_in_place(local: LocalEntry, others: Iterable[PeerEntry]) -> int:
+    """Return how many known entries of this place come before this one."""
+    near = [entry.host for entry in others if entry.place == local.place]
+    return sum(1 for host in near if reader_sort_key(host) < reader_sort_key(local.host))
 
 
-def is_route_reader(me: LocalEntry, others: Iterable[PeerEntry]) -> bool:
-    """Return whether this entry reads the routes, for the others of its place."""
-    return rank_in_place(me, others) < READERS_PER_PLACE
+def is_route_reader(local: LocalEntry, others: Iterable[PeerEntry]) -> bool:
+    """Return whether this entry reads the routes for the others of its place."""
+    return rank_in_place(local, others) < READERS_PER_PLACE
 
 
 def is_target_list_confirmed(digest: int, others: Iterable[PeerEntry]) -> bool:
-    """Return whether another entry has the same targets by a list that it read lately."""
+    """Return whether another entry recently read a list of targets with the same digest."""
     return any(
         entry.targets_digest == digest and entry.targets_age_s < LIST_CONFIRMED_MAX_AGE_S
         for entry in others
     )
 
 
-def choose_peers_to_query(me: LocalEntry, others: Iterable[PeerEntry]) -> list[PeerEntry]:
-    """Return the entries to ask: the first reader of this place, and one of another place.
+def choose_peers_to_query(local: LocalEntry, others: Iterable[PeerEntry]) -> list[PeerEntry]:
+    """Return the entries to query: the first reader of this place, and one of another place.
 
-    One whose own routes are old, as the store turns it away, comes after the others.
+    An entry whose own routes are old, because the store rejects it, comes after the others.
     """
     order = sorted(
         others,
         key=lambda entry: (entry.routes_age_s > CONFIRMED_MAX_AGE_S, reader_sort_key(entry.host)),
     )
-    near = [entry for entry in order if entry.place == me.place]
-    far = [entry for entry in order if entry.place != me.place]
+    near = [entry for entry in order if entry.place == local.place]
+    far = [entry for entry in order if entry.place != local.place]
     return [*near[:1], *far[: QUERIED_PEERS - len(near[:1])]]
 
 
 def fallback_age_s(rank: int) -> float:
-    """Return from which age of the routes on an entry that is no reader reads the store itself."""
-    return CONFIRMED_MAX_AGE_S + READ_STAGGER_S * (_step_of(rank) - 1)
+    """Return the age of the routes, in seconds, at which a non-reader reads the store itself."""
+    return CONFIRMED_MAX_AGE_S + READ_STAGGER_S * (_group_of(rank) - 1)
 
 
 def remote_fetch_delay_s(rank: int) -> float:
-    """Return how long an entry lets others of its place fetch what only another place has."""
-    return FETCH_STAGGER_S * _step_of(rank)
+    """Return how long, in seconds, an entry leaves it to others to fetch from another place."""
+    return FETCH_STAGGER_S * _group_of(rank)
 
 
 def start_delay_s(rank: int | None) -> float:
-    """Return how long an entry that starts waits to be told the routes before it reads them.
+    """Return how long, in seconds, a starting entry waits to receive the routes from peers.
 
-    Its rank is that among the listed entries of its place; None while the list is not here.
+    After that it reads them itself. `rank` is its rank among the listed entries of its place, None
+    until the list has arrived.
     """
-    return LIST_WAIT_S if rank is None else START_STAGGER_S * max(0, _step_of(rank) - 1)
+    return LIST_WAIT_S if rank is None else START_STAGGER_S * max(0, _group_of(rank) - 1)
 
 
-def _step_of(rank: int) -> int:
-    """Return 0 for the first, 1 for the next, 2 for the two after it, 3 for the next four."""
+def _group_of(rank: int) -> int:
+    """Return the group of a rank: 0 for rank 0, 1 for 1, 2 for 2 and 3, 3 for 4 to 7."""
     return rank.bit_length()
--- a/src/lacewinggw/decisions/routes.py
+++ b/src/lacewinggw/decisions/routes.py
@@ -1,6 +1,6 @@
-"""Routes: which service answers a request, for whom, and what may be done with it.
+"""Routes: the service that answers a request, the client account, and the handling of the request.
 
-A `RouteTable` is one version of what the operators declare. It is immutable; a new version is a
+A `RouteTable` is one version of the operators' declarations. It is immutable; a new version is a
 new table.
 
     table.find("sheets.example", "/pens/12")
@@ -13,20 +13,20 @@
 
 from lacewinggw.ids import Account, Address, ModelName, RouteName, ServiceName
 
-DEFAULT_PRIORITY = 1  # of a route that declares none
+DEFAULT_PRIORITY = 1  # of a route that declares no priority
 
 
 class RetryPolicy(Enum):
-    """What may be done again with a request whose outcome is not known."""
+    """Whether a request with an unknown outcome may be sent again."""
 
     IDEMPOTENT = "idempotent"
     NEVER = "never"
-    RESUMABLE = "resumable"  # a stream that may go on elsewhere after its last event
+    RESUMABLE = "resumable"  # a stream that another target may continue after its last event
 
 
 @dataclass(frozen=True)
 class ServiceShare:
-    """A service's part of a route's requests."""
+    """A service and its weight among the services of a route."""
 
     service: ServiceName
     weight: float
@@ -36,8 +36,8 @@
 class Route:
     """One route; times in seconds.
 
-    `attempts` bounds the targets on which one request may run. `prefix` begins and ends with a
-    slash. `gap_s` is the longest pause between events with which a stream is still on time.
+    `attempts` limits the number of targets on which one request may run. `prefix` begins and ends
+    with a slash. `gap_s` is the longest allowed pause between two events of a stream.
     """
 
     name: RouteName
@@ -56,11 +56,11 @@
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """How a service's model engines work, as their operators measured it.
+    """The performance of a service's model engines, as declared by their operators.
 
-    A step gives each running request one token and takes `step_s`, plus `step_per_request_s` for
-    each of them. A prompt is read at `read_tokens_per_s`, at most `chunk_tokens` a step. An event
-    of a stream holds the tokens of `stride` steps.
+    One step generates one token for each running request and takes `step_s` plus
+    `step_per_request_s` for each of them. A prompt is read at `read_tokens_per_s`, at most
+    `chunk_tokens` per step. An event of a stream holds the tokens of `stride` steps.
     """
 
     slots: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class WeightsProfile:
-    """What the weights of a model are made of, and how long an engine takes to load them."""
+    """The structure of a model's weights, and the time that an engine takes to load them."""
 
     layers: int
     chunks: int
@@ -89,9 +89,9 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A service; `connection_limit` bounds the connections to one target from all callers.
+    """A service; `connection_limit` limits the connections to one target from all callers.
 
-    `origin` is the address from which weights come, for the one service that has it.
+    `origin` is the address of the origin of weights, set for the one service that provides it.
     """
 
     name: ServiceName
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True)
 class ClientAccount:
-    """A client account; its priority, if it has one, goes before that of the route."""
+    """A client account; its priority, if set, overrides that of the route."""
 
     name: Account
     priority: int | None = None
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send, in bytes, and how long it may take or stay idle, in seconds."""
+    """Limits on the size of a caller's requests, and on the time to send one or to stay idle."""
 
     head_bytes: int = 16 << 10
     body_bytes: int = 4 << 20
@@ -129,9 +129,11 @@
     routes: tuple[Route, ...] = ()
     services: Mapping[ServiceName, Service] = field(default_factory=dict)
     accounts: Mapping[str, ClientAccount] = field(default_factory=dict)  # by key
-    needs_key: bool = False  # on every route that is not anonymous, even if nobody holds one
+    needs_key: bool = False  # on every route that is not anonymous, even if no account has a key
     limits: CallerLimits = field(default_factory=CallerLimits)
-    source: bytes = field(default=b"", compare=False, repr=False)  # as the operators wrote it
+    source: bytes = field(
+        default=b"", compare=False, repr=False
+    )  # the declaration as the operators wrote it
     _by_domain: dict[str, list[Route]] = field(default_factory=dict, compare=False, repr=False)
 
     def __post_init__(self) -> None:
@@ -149,12 +151,12 @@
         return None
 
     def account_of(self, key: str) -> ClientAccount | None:
-        """Return the client account that holds a key, or None."""
+        """Return the client account to which a key belongs, or None."""
         return self.accounts.get(key)
 
 
 def pick_service(shares: Sequence[ServiceShare], draw: float) -> ServiceName:
-    """Return the service in whose part `draw`, from 0 to 1, falls."""
+    """Return the service selected by `draw`, a number from 0 to 1, in proportion to the weights."""
     total = sum(share.weight for share in shares)
     rest = draw * total
     for share in shares:
--- a/src/lacewinggw/decisions/routingview.py
+++ b/src/lacewinggw/decisions/routingview.py
@@ -1,9 +1,10 @@
-"""What a process believes of its fleet, how old that is, and what it still covers.
+"""The cached routes, required versions and targets of one process, and how current they are.
 
-Versions only rise: an update that is older than what is known changes nothing, whoever sends it.
-Ages count on a clock that goes on while a host is suspended, so a process that was frozen finds its
-knowledge old before it admits anything. They count from the sending of the call whose answer proved
-the updates, and for a denial from when that answer was composed.
+Versions only increase: an update that is older than the cached state is ignored, regardless of its
+sender. Ages are measured by a clock that continues while a host is suspended, so a process that was
+suspended finds its cached state out of date before it admits a request. They count from the time at
+which the call was sent whose answer confirmed the state; for a denial, from the time at which that
+answer was composed.
 """
 
 import math
@@ -15,20 +16,20 @@
 from lacewinggw.ids import ModelName, TargetId, TargetName
 
 DEPARTED_RETENTION_S = (
-    60.0  # a store that serves stale reads is seconds behind, a frozen entry little more
+    60.0  # stale reads of the store are seconds old, updates of a suspended entry little more
 )
 
 
 @dataclass(frozen=True)
 class RoutingViewRules:
-    """Bounds in seconds.
-
-    `revocation_s`: a key that was taken away counts no longer. `apply_s`: a change is in force.
-    `lapse_s`: a target that vanished from the list during an outage of the store is believed for
-    so long after the store's return. `settled_s`: for so long after an outage the list may still
-    lack targets that live. `version_s`: a named version is in use everywhere. `begin_s`: a request
-    that is sent to a target begins there; more than its own short queue takes. `slack_s`: by so
-    much a version may have been named before this process learned of it.
+    """Time limits in seconds.
+
+    `revocation_s`: until a revoked key is no longer accepted. `apply_s`: until a change is in
+    force. `lapse_s`: how long after an outage of the store a target that left the list during it is
+    still used. `post_outage_s`: how long after an outage the list may lack live targets.
+    `version_s`: until a named version is in use everywhere. `begin_s`: until a request that is sent
+    to a target starts there, more than the target's own short queue takes. `slack_s`: how long
+    before this process received a version it may have been named.
     """
 
     revocation_s: float = 5.0
@@ -42,11 +43,11 @@
 
 @dataclass(frozen=True)
 class RequiredVersion:
-    """A version that is due, and when this process learned of it.
+    """A version that must be in use within `version_s`, and when this process received it.
 
-    A process that has just started finds a version named at some time before, and counts it as
-    named the earlier for that. Such a guess is its own caution and nothing to tell to others, who
-    were there and know better.
+    A process that has just started does not know when a version was named, and assumes an earlier
+    time to be safe. Such an estimate (`is_guess`) is not for peers, which received the version when
+    it was named.
     """
 
     version: int
@@ -56,9 +57,10 @@
 
 @dataclass(frozen=True)
 class _RoutesConfirmation:
-    """A version of the routes, and moments at which it was the newest.
+    """A version of the routes, and the times at which it was known to be the newest.
 
-    `proved_at` holds under any trouble of the store, `seen_at` while its feed overlooks nothing.
+    `confirmed_at` holds under any fault of the store, `observed_at` while its feed misses no
+    change.
     """
 
     version: int = 0
@@ -67,57 +69,63 @@
 
 
 class RoutingView:
-    """The routes, the versions due and the targets, as one process knows them.
+    """The routes, required versions and targets as cached by one process.
 
-    knowledge.take_routes(table, proved_at=now)
-    if knowledge.covers_keys(now): ...
+    view.update_routes(table)
+    view.confirm_routes(now)
+    if view.can_accept_keys(now): ...
     """
 
     def __init__(self, rules: RoutingViewRules) -> None:
         self.rules = rules
         self.routes: RouteTable | None = None
-        self._due: dict[ModelName, list[RequiredVersion]] = {}
+        self._required: dict[ModelName, list[RequiredVersion]] = {}
         self._targets: dict[TargetId, TargetEntry] = {}
         self._lapsing: dict[TargetId, float] = {}
-        self._left: set[TargetId] = set()
-        self._unlisted_since: dict[TargetId, float] = {}  # of starts kept in mind only
-        self._starts: dict[TargetName, TargetEntry] = {}  # the newest start that was listed
-        self._routes_proved_at = float("-inf")
-        self._routes_seen_at = float("-inf")
-        self._ahead = _RoutesConfirmation()  # of routes that others have
+        self._leaving: set[TargetId] = set()
+        self._unlisted_since: dict[TargetId, float] = (
+            {}
+        )  # of remembered incarnations that are not listed
+        self._incarnations: dict[TargetName, TargetEntry] = (
+            {}
+        )  # the newest incarnation that was listed
+        self._routes_confirmed_at = float("-inf")
+        self._routes_observed_at = float("-inf")
+        self._newer_routes = _RoutesConfirmation()  # of newer routes that peers have
         self._outage_ended_at = float("-inf")
 
     @property
     def targets(self) -> Mapping[TargetId, TargetEntry]:
-        """Every target believed to be there, those that are leaving included."""
+        """All targets in use, including those that are leaving."""
         return self._targets
 
     @property
     def leaving(self) -> Set[TargetId]:
         """The targets that take no new work."""
-        return self._left
+        return self._leaving
 
     def routes_age_s(self, now: float) -> float:
-        """Return how many seconds ago the routes were known to be the newest."""
-        return now - self._routes_proved_at
+        """Return the seconds since the routes were confirmed to be the newest."""
+        return now - self._routes_confirmed_at
 
     def routes_observed_age_s(self, now: float) -> float:
-        """Return how many seconds ago the routes were seen to be the newest, by a store in order.
+        """Return the seconds since the routes were observed to be the newest.
 
-        It is younger by the time that the store was waited for.
+        The observation is valid while the store works correctly. Its age is less than
+        `routes_age_s` by the time that the call waited at the store.
         """
-        return now - self._routes_seen_at
+        return now - self._routes_observed_at
 
     def can_accept_keys(self, now: float) -> bool:
-        """Return whether a key that is on the table may be honoured still."""
+        """Return whether a key in the route table may still be accepted."""
         return self.routes is not None and self.routes_age_s(now) < self.rules.revocation_s
 
     def can_deny_unknown(self, now: float) -> bool:
-        """Return whether what the table lacks may be denied: something new would be known.
+        """Return whether a request for what the table lacks may be denied.
 
-        A change is in force everywhere within the bound on changes, so what was the newest at a
-        moment within that bound is what counts. Beyond it, and while something newer is known to be
-        there, a route that was added would be answered with 404.
+        A change has to be in force within `apply_s`, so a table that was the newest within that
+        time is complete. After it, and while a newer version is known to exist, a route that was
+        added meanwhile would be answered with 404.
         """
         if self.routes is None or self._is_behind:
             return False
@@ -125,77 +133,78 @@
 
     @property
     def _is_behind(self) -> bool:
-        return self.routes is not None and self._ahead.version > self.routes.version
+        return self.routes is not None and self._newer_routes.version > self.routes.version
 
     # ---- configuration --------------------------------------------------------------------
 
     def update_routes(self, table: RouteTable) -> bool:
-        """Take a version of the routes unless it is older; return whether it is new."""
+        """Store a version of the routes unless it is older; return whether it is new."""
         if self.routes is not None and table.version <= self.routes.version:
             return False
         self.routes = table
-        if table.version == self._ahead.version:
-            self.confirm_routes(self._ahead.confirmed_at, self._ahead.observed_at)
+        if table.version == self._newer_routes.version:
+            self.confirm_routes(self._newer_routes.confirmed_at, self._newer_routes.observed_at)
         return True
 
     def confirm_routes(self, confirmed_at: float, observed_at: float | None = None) -> None:
-        """Note that the routes known were the newest at a moment, and seen to be so at another."""
+        """Record when the cached routes were confirmed, and when observed, to be the newest."""
         observed_at = confirmed_at if observed_at is None else observed_at
-        self._routes_proved_at = max(self._routes_proved_at, confirmed_at)
-        self._routes_seen_at = max(self._routes_seen_at, observed_at)
+        self._routes_confirmed_at = max(self._routes_confirmed_at, confirmed_at)
+        self._routes_observed_at = max(self._routes_observed_at, observed_at)
 
     def confirm_version(
         self, version: int, confirmed_at: float = -math.inf, observed_at: float | None = None
     ) -> None:
-        """Note that a version of the routes was the newest at a moment, or only that it exists.
+        """Record when a version of the routes was the newest, or only that it exists.
 
-        It proves nothing of other versions; that of a newer one counts once that one is here.
+        The confirmation applies to that version alone. For a version newer than the cached routes
+        it takes effect when that version arrives.
         """
         observed_at = confirmed_at if observed_at is None else observed_at
-        known = self.routes.version if self.routes is not None else 0
-        if version == known:
+        cached_version = self.routes.version if self.routes is not None else 0
+        if version == cached_version:
             self.confirm_routes(confirmed_at, observed_at)
-        if version <= known or version < self._ahead.version:
+        if version <= cached_version or version < self._newer_routes.version:
             return
-        if version == self._ahead.version:
-            confirmed_at = max(confirmed_at, self._ahead.confirmed_at)
-            observed_at = max(observed_at, self._ahead.observed_at)
-        self._ahead = _RoutesConfirmation(version, confirmed_at, observed_at)
+        if version == self._newer_routes.version:
+            confirmed_at = max(confirmed_at, self._newer_routes.confirmed_at)
+            observed_at = max(observed_at, self._newer_routes.observed_at)
+        self._newer_routes = _RoutesConfirmation(version, confirmed_at, observed_at)
 
     def require_version(self, due: DueVersion, now: float, old: bool = False) -> bool:
-        """Take a version that is due unless it is older; return whether it is new.
+        """Store a required version unless it is older; return whether it is new.
 
-        An `old` one was named some time before this process looked: the time allowed for it is over
-        as soon as the process counts as settled.
+        An `old` one was named at an unknown time before this process read it. Only `post_outage_s`
+        of the time allowed for it is assumed to remain.
         """
-        named = self._due.setdefault(due.model, [])
+        named = self._required.setdefault(due.model, [])
         if named and due.version <= named[-1].version:
             return False
-        used_s = max(0.0, self.rules.version_s - self.rules.post_outage_s) if old else 0.0
-        named.append(RequiredVersion(due.version, now - used_s, is_guess=old))
+        assumed_age_s = max(0.0, self.rules.version_s - self.rules.post_outage_s) if old else 0.0
+        named.append(RequiredVersion(due.version, now - assumed_age_s, is_guess=old))
         return True
 
     def required_versions(self, model: ModelName) -> Sequence[RequiredVersion]:
-        """Return the versions of a model that were named, the oldest first."""
-        return self._due.get(model, ())
+        """Return the named versions of a model, the oldest first."""
+        return self._required.get(model, ())
 
     @property
     def all_required_versions(self) -> Sequence[tuple[ModelName, RequiredVersion]]:
-        """Every version that was named, with its model."""
-        return [(model, due) for model, named in self._due.items() for due in named]
+        """All named versions, each with its model."""
+        return [(model, due) for model, named in self._required.items() for due in named]
 
     def min_version(self, model: ModelName, now: float) -> int:
-        """Return the oldest version on which a request may still begin; 0 for any."""
+        """Return the oldest version on which a request may still start; 0 for any."""
         bound_s = self.rules.version_s - self.rules.begin_s
-        late = [
+        overdue = [
             each.version
             for each in self.required_versions(model)
             if now - each.received_at >= bound_s
         ]
-        return max(late, default=0)
+        return max(overdue, default=0)
 
     def start_deadline(self, target: TargetId, model: ModelName) -> float:
-        """Return until when a request may begin on the weights that a target is known to hold."""
+        """Return the time until which a request may start on the known weights of a target."""
         entry = self._targets.get(target)
         held = entry.weights.get(model, 0) if entry else 0
         newer = [each.received_at for each in self.required_versions(model) if each.version > held]
@@ -204,91 +213,91 @@
     # ---- targets --------------------------------------------------------------------------
 
     def record_outage_end(self, now: float) -> None:
-        """Note that the store answers again: what lapsed meanwhile is soon back or gone."""
+        """Record that the store answers again; see `remove_delisted` for the effect."""
         self._outage_ended_at = now
 
     def update_target(self, entry: TargetEntry) -> None:
-        """Take what the list says of a target; a start that leaves never comes back.
+        """Store a listed target; an incarnation that is leaving never becomes usable again.
 
-        A start that was born later under the same name ends the one before, and what is heard of
-        that one afterwards, from a read that is behind, counts for nothing.
+        A later incarnation of the same name replaces the earlier one. Entries of the earlier one
+        that arrive afterwards, from a stale read, are ignored.
         """
-        newest = self._starts.get(entry.name)
+        newest = self._incarnations.get(entry.name)
         if newest is not None and entry.born_ms < newest.born_ms:
             return
         if newest is not None and newest.target != entry.target:
-            self._forget_start(newest.target)
-        self._starts[entry.name] = entry
+            self._remove_target(newest.target)
+        self._incarnations[entry.name] = entry
         self._lapsing.pop(entry.target, None)
         if entry.phase is TargetPhase.LEAVING:
-            self._left.add(entry.target)
-        elif entry.target in self._left:
+            self._leaving.add(entry.target)
+        elif entry.target in self._leaving:
             return
-        known = self._targets.get(entry.target)
-        if known is not None:
-            entry = replace(entry, weights=_newest(known.weights, entry.weights))
+        cached = self._targets.get(entry.target)
+        if cached is not None:
+            entry = replace(entry, weights=_newest(cached.weights, entry.weights))
         self._targets[entry.target] = entry
 
     def replace_targets(
         self, entries: Iterable[TargetEntry], now: float, is_restored: bool = False
     ) -> None:
-        """Take the whole list of targets; what is not on it has vanished.
+        """Replace the whole list of targets; those that are not on it have been delisted.
 
-        A list that `is_restored` from an older copy names targets that have vanished since. They
-        come back only as they write again themselves, for then they live.
+        A list that `is_restored` from an older copy includes targets that have been delisted since.
+        They are ignored until they write their entries again, which shows that they are alive.
         """
         listed = {
             entry.name: entry
             for entry in entries
-            if not (is_restored and self._has_vanished(entry))
+            if not (is_restored and self._was_delisted(entry))
         }
-        known = {entry.name for entry in self._targets.values()}
-        for name in known - listed.keys():
+        cached_names = {entry.name for entry in self._targets.values()}
+        for name in cached_names - listed.keys():
             self.remove_delisted(name, now)
         for entry in listed.values():
             self.update_target(entry)
 
     def remove_delisted(self, name: TargetName, now: float) -> None:
-        """Note that a target has vanished from the list.
+        """Remove a target that has left the list.
 
-        After an outage of the store a live one is back soon, so it is believed a little longer,
-        unless it was leaving.
+        After an outage of the store a live target is soon listed again, so it stays in use until
+        `lapse_s` after the outage, unless it was leaving.
         """
-        target = self._listed_start(name)
+        target = self._listed_incarnation(name)
         if target is None:
             return
-        lapsed = now - self._outage_ended_at < self.rules.post_outage_s
-        if lapsed and target not in self._left:
+        may_return = now - self._outage_ended_at < self.rules.post_outage_s
+        if may_return and target not in self._leaving:
             until = self._outage_ended_at + self.rules.lapse_s
             self._lapsing.setdefault(target, max(until, now))
             return
         del self._targets[target]
 
     def remove_unreadable(self, name: TargetName) -> None:
-        """Let go of a target whose entry cannot be read: nobody can tell whether it may be used.
+        """Remove a target whose entry cannot be read, as its state is unknown.
 
-        It may be leaving, or its name may stand for something else by now. A readable entry brings
-        it back.
+        It may be leaving, or its name may belong to another target. A readable entry restores it.
         """
-        target = self._listed_start(name)
+        target = self._listed_incarnation(name)
         if target is not None:
-            self._forget_start(target)
+            self._remove_target(target)
 
     def record_incarnation(self, name: TargetName, born_ms: int) -> None:
-        """Note when a target was born, as told by its host: an earlier start of it is over.
+        """Record the start time of a target's incarnation, which ends the earlier ones.
 
-        The list follows within a heartbeat of the target; until then the new start is not used, as
-        its weights are not known. It says nothing where the list does not tell births.
+        Its host reports the time before the list has it. The list follows within a heartbeat of the
+        target; until then the new incarnation is not used, as its weights are unknown. The report
+        is ignored if the listed entry has no start time.
         """
-        newest = self._starts.get(name)
+        newest = self._incarnations.get(name)
         if newest is not None and 0 < newest.born_ms < born_ms:
             self.mark_leaving(newest.target)
 
     def update_weights(self, target: TargetId, weights: Mapping[ModelName, int]) -> bool:
-        """Take what a target was heard to hold; return whether that is new.
+        """Merge reported weights of a target; return whether they are new.
 
-        Within one start of a target versions only rise, so an update that overtakes the list, or
-        comes behind it, does no harm.
+        Versions only increase within one incarnation, so an update may arrive before or after the
+        list.
         """
         entry = self._targets.get(target)
         if entry is None:
@@ -300,40 +309,40 @@
         return True
 
     def mark_leaving(self, target: TargetId) -> None:
-        """Note that a target leaves, as somebody other than the list said."""
-        self._left.add(target)
+        """Record that a target is leaving, as reported by a source other than the list."""
+        self._leaving.add(target)
 
     def expire(self, now: float) -> None:
-        """Let go of targets that did not come back after an outage, and forget those long gone."""
+        """Remove targets that were not listed again after an outage, and old incarnations."""
         for target in [each for each, until in self._lapsing.items() if until <= now]:
-            self._forget_start(target)
-        self._forget_left(now)
+            self._remove_target(target)
+        self._remove_old_incarnations(now)
 
-    def _has_vanished(self, entry: TargetEntry) -> bool:
-        """Return whether a start was on the list before, and is not now."""
-        newest = self._starts.get(entry.name)
+    def _was_delisted(self, entry: TargetEntry) -> bool:
+        """Return whether an incarnation was on the list and is no longer in use."""
+        newest = self._incarnations.get(entry.name)
         if newest is None or entry.target in self._targets:
             return False
         return entry.born_ms <= newest.born_ms
 
-    def _listed_start(self, name: TargetName) -> TargetId | None:
-        newest = self._starts.get(name)
+    def _listed_incarnation(self, name: TargetName) -> TargetId | None:
+        newest = self._incarnations.get(name)
         if newest is None or newest.target not in self._targets:
             return None
         return newest.target
 
-    def _forget_start(self, target: TargetId) -> None:
+    def _remove_target(self, target: TargetId) -> None:
         self._lapsing.pop(target, None)
         self._targets.pop(target, None)
 
-    def _forget_left(self, now: float) -> None:
-        starts = {entry.target: entry.name for entry in self._starts.values()}
-        for target in (self._left | starts.keys()) - self._targets.keys():
+    def _remove_old_incarnations(self, now: float) -> None:
+        starts = {entry.target: entry.name for entry in self._incarnations.values()}
+        for target in (self._leaving | starts.keys()) - self._targets.keys():
             since = self._unlisted_since.setdefault(target, now)
             if now - since >= DEPARTED_RETENTION_S:
-                self._left.discard(target)
+                self._leaving.discard(target)
                 if target in starts:
-                    del self._starts[starts[target]]
+                    del self._incarnations[starts[target]]
                 del self._unlisted_since[target]
         for target in self._unlisted_since.keys() & self._targets.keys():
             del self._unlisted_since[target]
--- a/src/lacewinggw/decisions/storeposition.py
+++ b/src/lacewinggw/decisions/storeposition.py
@@ -1,7 +1,7 @@
-"""How far the changes of a store are known.
+"""The position in the change sequence of a store up to which changes are known.
 
-A store counts its changes. One that comes back from an older copy begins another era and gives out
-numbers again, so a number says nothing without its era.
+A store numbers its changes. A store that is restored from an older copy starts a new era and reuses
+numbers, so a number has no meaning without its era.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, order=True)
 class StorePosition:
-    """All changes up to `revision` of an era are known; whatever is of a later era comes later.
+    """All changes up to `revision` of an era are known; positions of later eras compare greater.
 
     >>> StorePosition(2, 10) > StorePosition(1, 500)
     True
@@ -19,4 +19,4 @@
     revision: int = 0
 
 
-NO_POSITION = StorePosition()  # nothing is known
+NO_POSITION = StorePosition()  # no change is known
--- a/src/lacewinggw/decisions/topology.py
+++ b/src/lacewinggw/decisions/topology.py
@@ -1,12 +1,12 @@
-"""Who spreads a release to whom: neighbours within a place, and gateways between places.
+"""Derive the peers of a host for one release: neighbours in its place, and gateways between places.
 
-Everything follows from the list of hosts due the release and its digest, so that each host works it
-out alone. Views that differ for a while give a few links more or less, nothing worse.
+The topology follows from the list of hosts that are to hold the release and its digest, so each
+host computes it alone. Lists that differ for a while only add or remove a few links.
 
-A release's chunks fall into columns. In each place one host per column is its gateway: it brings
-the column's chunks into the place, from the gateways of other places or from the origin. Within a
-place hosts are joined by rings in different orders, which together are a well-mixing graph in which
-everyone has the same number of neighbours.
+The chunks of a release are divided into columns. In each place one host per column is the gateway:
+it imports the column's chunks, from the gateways of other places or from the origin. Within a place
+the hosts are connected by rings in different orders, which together form a well-mixing
+graph in which all hosts have the same number of neighbours.
 """
 
 from collections import defaultdict
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class ColumnRanks:
-    """Where this host stands in one column: 0 is the one in charge, None is out of the list."""
+    """The ranks of this host for one column: 0 is in charge, None is not on the list."""
 
     in_place: int | None
     at_origin: int | None
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Topology:
-    """What the list of hosts means for one of them."""
+    """The topology as seen by one host."""
 
     places: Mapping[HostId, Place]
     neighbours: frozenset[HostId]
@@ -50,10 +50,11 @@
 
 @dataclass(frozen=True)
 class TopologyRules:
-    """How to derive a `Topology`.
+    """The parameters from which a `Topology` is derived.
 
-    `local` and `remote` are neighbours in the same place and per column in others, `columns` the
-    number of gateways in a place, `ranks` how many hosts may stand in for one another.
+    `local` is the number of neighbours in the same place, `remote` that of neighbours per column in
+    other places. `columns` is the number of gateways in a place, `ranks` the number of hosts per
+    column, the backups included.
     """
 
     local: int
@@ -67,7 +68,7 @@
         by_place: dict[Place, list[HostId]] = defaultdict(list)
         for each in {*hosts, me}:
             by_place[each.place].append(each.host)
-        order = _ranked(by_place, digest)
+        order = _rendezvous_order(by_place, digest)
         gateways = {place: self._gateways(place, by_place, order, digest) for place in order}
         neighbours = set(ring_neighbours(me.host, by_place[me.place], digest, self.local))
         columns = []
@@ -77,7 +78,7 @@
             columns.append(ColumnRanks(rank, at_origin))
             if rank is not None:
                 neighbours.update(ranked)
-                neighbours.update(self._remote(me.place, gateways, order, column))
+                neighbours.update(self._remote_gateways(me.place, gateways, order, column))
         return Topology(
             places={host: place for place, names in by_place.items() for host in names},
             neighbours=frozenset(neighbours - {me.host}),
@@ -93,25 +94,25 @@
         order: Sequence[Place],
         digest: Digest,
     ) -> list[list[HostId]]:
-        """Return for each column the place's hosts that may be its gateway, best first.
+        """Return for each column the hosts of the place that may be its gateway, in rank order.
 
-        The first is the best by rendezvous among those with least to do already; a column that
-        this place fetches from the origin and sends to others weighs more than one it imports.
+        The first has the best rendezvous rank among the least loaded hosts. A column that this
+        place fetches from the origin and sends to others is a higher load than an imported one.
         """
         hosts = by_place[place]
         load = dict.fromkeys(hosts, 0)
         ranked: list[list[HostId]] = [[] for _ in range(self.columns)]
-        weights = [self._weight(place, order, column) for column in range(self.columns)]
+        weights = [self._gateway_load(place, order, column) for column in range(self.columns)]
         for column in sorted(range(self.columns), key=lambda each: (-weights[each], each)):
-            by_hash = _ranked(hosts, f"{digest}/{column}")
+            by_hash = _rendezvous_order(hosts, f"{digest}/{column}")
             first = min(by_hash, key=lambda host: load[host])
             load[first] += weights[column]
             others = [host for host in by_hash if host != first]
             ranked[column] = [first, *others][: self.ranks]
         return ranked
 
-    def _weight(self, place: Place, order: Sequence[Place], column: int) -> int:
-        is_origin = not self.per_place and _turned(order, column)[0] == place
+    def _gateway_load(self, place: Place, order: Sequence[Place], column: int) -> int:
+        is_origin = not self.per_place and _rotate(order, column)[0] == place
         return 1 + min(self.remote, len(order) - 1) if is_origin else 1
 
     def _origin_rank(
@@ -121,17 +122,20 @@
         order: Sequence[Place],
         column: int,
     ) -> int | None:
-        """Return this host's turn at the origin: first one host of each place, then a second."""
-        turns = [
+        """Return the rank of this host for fetching the column from the origin, or None.
+
+        The first host of each place comes before the second of any place.
+        """
+        candidates = [
             gateways[place][column][rank]
             for rank in range(self.ranks)
-            for place in _turned(order, column)
+            for place in _rotate(order, column)
             if rank < len(gateways[place][column])
         ]
-        allowed = turns[: self.ranks]
+        allowed = candidates[: self.ranks]
         return allowed.index(me.host) if me.host in allowed else None
 
-    def _remote(
+    def _remote_gateways(
         self,
         place: Place,
         gateways: Mapping[Place, Sequence[Sequence[HostId]]],
@@ -139,22 +143,22 @@
         column: int,
     ) -> set[HostId]:
         """Return the column's gateways in the nearest places on the ring of places."""
-        at = order.index(place)
+        position = order.index(place)
         steps = [(step + 1) // 2 * (1 if step % 2 else -1) for step in range(1, self.remote + 1)]
-        near = {order[(at + step) % len(order)] for step in steps} - {place}
+        near = {order[(position + step) % len(order)] for step in steps} - {place}
         return {gateways[other][column][0] for other in near}
 
 
-def _turned(order: Sequence[Place], column: int) -> list[Place]:
-    """Return the places in the order of their turns at the origin for a column."""
+def _rotate(order: Sequence[Place], column: int) -> list[Place]:
+    """Return the places in the order in which they may fetch a column from the origin."""
     start = column % len(order)
     return [*order[start:], *order[:start]]
 
 
 def ring_neighbours(me: HostId, hosts: Sequence[HostId], digest: Digest, count: int) -> set[HostId]:
-    """Return about `count` neighbours of `me`: before and after it on rings of the hosts.
+    """Return about `count` neighbours of `me`: predecessors and successors on rings of the hosts.
 
-    Rings that join the same two hosts are made up for by a few more.
+    More rings are used if some of them connect the same hosts.
     """
     if len(hosts) <= count + 1:
         return set(hosts) - {me}
@@ -162,14 +166,14 @@
     for ring in range(count):
         if len(found) >= count:
             break
-        order = _ranked(hosts, f"{digest}/ring{ring}")
-        at = order.index(me)
-        found |= {order[at - 1], order[(at + 1) % len(order)]}
+        order = _rendezvous_order(hosts, f"{digest}/ring{ring}")
+        position = order.index(me)
+        found |= {order[position - 1], order[(position + 1) % len(order)]}
     return found - {me}
 
 
-def _ranked(names: Iterable[Name], salt: str) -> list[Name]:
-    """Rank names by rendezvous hash: one name more or less leaves the order of the others."""
+def _rendezvous_order(names: Iterable[Name], salt: str) -> list[Name]:
+    """Sort names by rendezvous hash; adding or removing one keeps the order of the others."""
     return sorted(
         names, key=lambda name: (xxhash.xxh3_64_intdigest(f"{salt}/{name}".encode()), name)
     )
--- a/src/lacewinggw/decisions/upgrades.py
+++ b/src/lacewinggw/decisions/upgrades.py
@@ -1,17 +1,18 @@
-"""Which versions of its weights a target is to be brought to, in which order, and when.
+"""Plan the upgrades of one target's weights: which versions to fetch and load, and when.
 
-Versions can be named faster than they spread. Each has its own bound, after which nothing may begin
-on an older one, so a version that is on its way is not given up for the next one unless the next
-one is here before the bound of the first: what is half fetched serves nobody, and the source of the
-next one may fail.
+Versions can be named faster than they spread. Each has its own deadline, after which no request may
+start on an older one. A download in progress is therefore not abandoned for the next version,
+unless the next one arrives before the deadline of the first: a partial copy is of no use, and the
+source of the next version may fail.
 
-A version takes most of its time to arrive, on all targets at about the same moment, and a target
-that lets its requests end before it loads is out for two seconds. So half of a service takes the
-version the moment it is there, and what it breaks off goes on at the other half; that half is
-emptied, as new requests go to the first, and takes the version before the bound.
+A version spends most of its time in transit and arrives at all targets at about the same time. A
+target that drains before it loads is out of service for two seconds. So half of the targets of a
+service load the version on arrival, and the requests that they interrupt continue at the other
+half. That half drains, as new requests go to the first, and loads the version before the deadline.
 
-Where the bound leaves time beyond the copy, targets take their turns over all of it. A fleet at
-0.87 of what it can do is at 1.7 times of it while half of it is out, and at 1.2 while a quarter is.
+If the deadline leaves time after the download, the targets are staggered over all of it. A fleet at
+0.87 of its capacity is at 1.7 times its capacity while half of the targets are out of service, and
+at 1.2 times while a quarter are.
 """
 
 import math
@@ -22,26 +23,32 @@
 from lacewinggw.decisions.routingview import RequiredVersion
 from lacewinggw.ids import HostId
 
-FIRST_VERSION = 1  # of a model's weights, where no other has been named
-EARLY_SHARE = 0.5  # of a service: what these break off must fit on the others
-# Of the time between the copy and the bound, for the early half: these are out for 0.4 s each and
-# the others for 1.4 s, so that about as many are out at any time.
+FIRST_VERSION = 1  # of a model's weights, if no other has been named
+EARLY_SHARE = (
+    0.5  # of a service; the other targets must have capacity for the requests that these interrupt
+)
+# The share of the time between download and deadline for the early half. Its targets are out of
+# service for 0.4 s each and the others for 1.4 s, so about as many are out at any time.
 EARLY_WINDOW_SHARE = 0.22
-# Less than that between the copy and the last turns: the early half takes the version at once.
+# If less time remains between the download and the last upgrades, the early half loads at once.
 MIN_STAGGER_WINDOW_S = 1.5
-DRAIN_S = 1.0  # most running requests end within it, those of the usual length all
-DEADLINE_MARGIN_S = 0.6  # before the bound: an order then still keeps anything from beginning late
-DOWNLOAD_MARGIN_S = 1.0  # beyond the time that the rest of a version takes, to count on it in time
-NEARLY_COMPLETE_SHARE = 0.9  # of a version: the rest of it leaves room on the link for the next one
-# That a version has to serve before the next one is due: taking it costs 0.4 s, and what begins on
-# it does so up to 0.9 s before that.
+DRAIN_S = 1.0  # most running requests end within it, and all of typical length
+DEADLINE_MARGIN_S = (
+    0.6  # an order given this long before the deadline still prevents any late start
+)
+DOWNLOAD_MARGIN_S = (
+    1.0  # added to the estimated rest of a download before relying on its completion
+)
+NEARLY_COMPLETE_SHARE = 0.9  # of a version; the link then has capacity for the next one
+# The time that a version must serve before the deadline of the next one to be worth loading: the
+# load costs 0.4 s, and requests start on it until up to 0.9 s before that deadline.
 MIN_SERVING_S = 1.8
-MIN_REMAINING_S = 2.0  # an older version that is at hand is loaded if it may serve for so long
+MIN_REMAINING_S = 2.0  # an older complete version is loaded if it may serve for this long
 
 
 @dataclass(frozen=True)
 class UpgradeRules:
-    """`allowed_s` after it was named a version is in use; a copy takes `copy_s` to fetch."""
+    """A version must be in use `allowed_s` after it was named; its download takes `copy_s`."""
 
     allowed_s: float
     copy_s: float
@@ -49,26 +56,26 @@
 
 @dataclass(frozen=True)
 class VersionProgress:
-    """The share of each version that is at hand here, from 0 to 1."""
+    """The downloaded share of each version, from 0 to 1."""
 
     shares: Mapping[int, float]
 
     def share(self, version: int) -> float:
-        """Return the share of a version that is at hand."""
+        """Return the downloaded share of a version."""
         return self.shares.get(version, 0.0)
 
     def is_complete(self, version: int) -> bool:
-        """Return whether a version is at hand whole."""
+        """Return whether a version is completely downloaded."""
         return self.share(version) >= 1.0
 
 
 @dataclass(frozen=True)
 class UpgradeStep:
-    """What to do now: versions to fetch, the first one first, and the one to load, if any.
+    """The versions to fetch, in this order, and the version to load now, if any.
 
-    With `may_cut` other targets still have the old version, so that requests which are broken off
-    can go on there; without, the target is emptied first and what is left ends by itself. The order
-    is given by `order_by`, emptied or not.
+    With `may_interrupt`, other targets still have the old version, so interrupted requests can
+    continue there. Without it, the target drains first, and its remaining requests run to their
+    end. The load is ordered by `load_deadline` at the latest, drained or not.
     """
 
     fetch: tuple[int, ...] = ()
@@ -78,10 +85,10 @@
 
 
 class UpgradePlanner:
-    """The steps of one target among those of its service.
+    """The upgrade schedule of one target among those of its service.
 
-    plan = UpgradePlan(rules, host, hosts)
-    plan.decide(current, due, progress, now)
+    planner = UpgradePlanner(rules, host, hosts)
+    planner.decide(current, due, progress, now)
     """
 
     def __init__(self, rules: UpgradeRules, host: HostId, hosts: Collection[HostId]) -> None:
@@ -89,8 +96,10 @@
         rank = rendezvous_rank("upgrades", host, hosts)
         early = int(EARLY_SHARE * len(hosts))
         self._is_early = rank < early
-        # From 0 to 1 among the targets of the same half; the last one of the late half has 1.
-        self._turn = rank / early if self._is_early else (rank - early + 1) / (len(hosts) - early)
+        # The position, from 0 to 1, in the half of this target; the last of the late half has 1.
+        self._position = (
+            rank / early if self._is_early else (rank - early + 1) / (len(hosts) - early)
+        )
 
     def decide(
         self,
@@ -99,7 +108,7 @@
         progress: VersionProgress,
         now: float,
     ) -> UpgradeStep:
-        """Return what to do for a target that has `current`, None for no version at all."""
+        """Return the next step of a target that has version `current`, None for no version."""
         if not due:
             return self._for_first(current, progress)
         if current is None:
@@ -107,14 +116,14 @@
         pending = [each for each in due if each.version > current]
         if not pending:
             return UpgradeStep()
-        wanted = self._wanted(pending, progress, now)
-        first = wanted[0]
-        fetch = _open(wanted, progress)
+        chosen = self._choose_versions(pending, progress, now)
+        first = chosen[0]
+        fetch = _choose_fetches(chosen, progress)
         if not progress.is_complete(first.version):
             return UpgradeStep(fetch)
-        if now < self._turn_at(pending[0]):
+        if now < self._start_at(pending[0]):
             return UpgradeStep(fetch)
-        order_by = self._bound(pending[0]) - DEADLINE_MARGIN_S
+        order_by = self._deadline(pending[0]) - DEADLINE_MARGIN_S
         return UpgradeStep(fetch, first.version, self._is_early, order_by)
 
     def _for_first(self, current: int | None, progress: VersionProgress) -> UpgradeStep:
@@ -126,25 +135,25 @@
     def _for_empty(
         self, due: Sequence[RequiredVersion], progress: VersionProgress, now: float
     ) -> UpgradeStep:
-        """Bring the newest version, and meanwhile serve an older one that is at hand."""
+        """Fetch the newest version, and load an older complete one for the meantime."""
         newest = due[-1]
         if progress.is_complete(newest.version):
             return UpgradeStep((newest.version,), newest.version)
-        if now + MIN_REMAINING_S < self._bound(newest):
+        if now + MIN_REMAINING_S < self._deadline(newest):
             older = [version for version in progress.shares if version < newest.version]
-            at_hand = [version for version in older if progress.is_complete(version)]
-            if at_hand:
-                return UpgradeStep((newest.version,), max(at_hand))
+            complete = [version for version in older if progress.is_complete(version)]
+            if complete:
+                return UpgradeStep((newest.version,), max(complete))
         return UpgradeStep((newest.version,))
 
-    def _wanted(
+    def _choose_versions(
         self, pending: Sequence[RequiredVersion], progress: VersionProgress, now: float
     ) -> Sequence[RequiredVersion]:
-        """Return the versions to bring, those left out that are not worth their time."""
+        """Return the versions to fetch; versions that would serve too briefly are skipped."""
         oldest, newest = pending[0], pending[-1]
         if oldest is newest or progress.is_complete(newest.version):
             return [newest]
-        if self._ready_at(newest, progress, now) + DOWNLOAD_MARGIN_S <= self._bound(oldest):
+        if self._ready_at(newest, progress, now) + DOWNLOAD_MARGIN_S <= self._deadline(oldest):
             return [newest]
         pairs = zip(pending, pending[1:], strict=False)
         worth_it = [each for each, next_ in pairs if self._serves_long(each, next_, progress, now)]
@@ -153,35 +162,37 @@
     def _serves_long(
         self, due: RequiredVersion, next_: RequiredVersion, progress: VersionProgress, now: float
     ) -> bool:
-        """Return whether a version would serve for a while before the next one must be in use.
+        """Return whether a version would serve long enough before the next one must be in use.
 
-        After an outage of the source the missing pieces of a version that is all but over would
-        come before those of the next one, and keep a service out for as long as they take.
+        Otherwise, after an outage of the source, the missing pieces of a version that is about to
+        expire would precede those of the next one and keep the service down for that long.
         """
-        return self._ready_at(due, progress, now) + MIN_SERVING_S <= self._bound(next_)
+        return self._ready_at(due, progress, now) + MIN_SERVING_S <= self._deadline(next_)
 
     def _ready_at(self, due: RequiredVersion, progress: VersionProgress, now: float) -> float:
         return now + (1.0 - progress.share(due.version)) * self._rules.copy_s
 
-    def _turn_at(self, first: RequiredVersion) -> float:
-        """Return when this target may take a version that is there, or begin to empty for it."""
-        last = self._bound(first) - DEADLINE_MARGIN_S - DRAIN_S
-        begin = min(last, first.received_at + self._rules.copy_s)
+    def _start_at(self, first: RequiredVersion) -> float:
+        """Return the time from which this target may load a complete version or drain for it."""
+        last = self._deadline(first) - DEADLINE_MARGIN_S - DRAIN_S
+        start = min(last, first.received_at + self._rules.copy_s)
         early_s = (
-            EARLY_WINDOW_SHARE * (last - begin) if last - begin >= MIN_STAGGER_WINDOW_S else 0.0
+            EARLY_WINDOW_SHARE * (last - start) if last - start >= MIN_STAGGER_WINDOW_S else 0.0
         )
         if not self._is_early:
-            return begin + early_s + self._turn * (last - begin - early_s)
-        return begin + self._turn * early_s if early_s else -math.inf
+            return start + early_s + self._position * (last - start - early_s)
+        return start + self._position * early_s if early_s else -math.inf
 
-    def _bound(self, due: RequiredVersion) -> float:
+    def _deadline(self, due: RequiredVersion) -> float:
         return due.received_at + self._rules.allowed_s
 
 
-def _open(wanted: Sequence[RequiredVersion], progress: VersionProgress) -> tuple[int, ...]:
-    """Return the versions to fetch now: the next one only when those before are nearly there."""
+def _choose_fetches(
+    chosen: Sequence[RequiredVersion], progress: VersionProgress
+) -> tuple[int, ...]:
+    """Return the versions to fetch now; each one waits until those before are nearly complete."""
     opened: list[int] = []
-    for each in wanted:
+    for each in chosen:
         opened.append(each.version)
         if progress.share(each.version) < NEARLY_COMPLETE_SHARE:
             break
--- a/src/lacewinggw/decisions/uploads.py
+++ b/src/lacewinggw/decisions/uploads.py
@@ -1,4 +1,4 @@
-"""Which of the chunks asked of a host it sends next."""
+"""Choose which of the requested chunks a host uploads next."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class UploadRequest:
-    """A chunk that a neighbour asked for."""
+    """A chunk that a neighbour requested; `remote` if the neighbour is in another place."""
 
     host: HostId
     digest: Digest
@@ -20,59 +20,59 @@
 
 
 class UploadQueue:
-    """Requests that wait for the uplink.
+    """The requests that wait for the uplink.
 
-    A chunk that was never sent goes first: its receiver passes it on meanwhile, which is what keeps
-    uploads even. Then a request from another place, which waits for it as a whole; then that of the
-    host with the fewest chunks, so that all finish together. A host may have only `per_host`
-    requests waiting.
+    A chunk that was never sent has the highest priority: its receiver then uploads it to others,
+    which balances the uploads. Next are requests from another place, because all of that place
+    waits for the chunk. Then come requests of the host with the fewest chunks, so that all hosts
+    finish at about the same time. At most `per_host` requests of one host may wait.
     """
 
     def __init__(self, per_host: int) -> None:
         self._per_host = per_host
         self._waiting: dict[UploadRequest, None] = {}
-        self._waiting_of: Counter[HostId] = Counter()
+        self._waiting_by_host: Counter[HostId] = Counter()
         self._sent: Counter[tuple[Digest, int]] = Counter()
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, request: UploadRequest) -> bool:
-        """Queue a request; return False when its host has too many waiting already."""
+        """Queue a request; return False if its host already has `per_host` waiting."""
         if request in self._waiting:
             return True
-        if self._waiting_of[request.host] >= self._per_host:
+        if self._waiting_by_host[request.host] >= self._per_host:
             return False
         self._waiting[request] = None
-        self._waiting_of[request.host] += 1
+        self._waiting_by_host[request.host] += 1
         return True
 
     def cancel(self, request: UploadRequest) -> bool:
-        """Drop a request that is still waiting; return whether it was."""
+        """Remove a request; return False if it was not waiting."""
         if request not in self._waiting:
             return False
         del self._waiting[request]
-        self._waiting_of[request.host] -= 1
+        self._waiting_by_host[request.host] -= 1
         return True
 
     def take(self, held: HeldBy) -> UploadRequest | None:
-        """Take the request to be served next, or None when none waits.
+        """Remove and return the request to serve next, or None if none waits.
 
-        `held` tells how many chunks of a release a host has.
+        `held` returns the number of chunks of a release that a host has.
         """
         if not self._waiting:
             return None
-        request = min(self._waiting, key=lambda each: self._urgency(each, held))
+        request = min(self._waiting, key=lambda each: self._sort_key(each, held))
         self.cancel(request)
         self._sent[request.digest, request.index] += 1
         return request
 
     def forget(self, digest: Digest) -> None:
-        """Drop the counts of a release that is no longer due."""
+        """Discard the upload counts of a release that is no longer needed."""
         for key in [key for key in self._sent if key[0] == digest]:
             del self._sent[key]
 
-    def _urgency(self, request: UploadRequest, held: HeldBy) -> tuple[int, ...]:
+    def _sort_key(self, request: UploadRequest, held: HeldBy) -> tuple[int, ...]:
         sent = self._sent[request.digest, request.index]
         return (
             min(sent, 1),
--- a/src/lacewinggw/decisions/waves.py
+++ b/src/lacewinggw/decisions/waves.py
@@ -1,8 +1,9 @@
-"""Which hosts of a service change over to its next release now.
+"""Choose the hosts of a service that change over to its next release now.
 
-Hosts load the next release beside the one that they serve, and change over in waves, each one entry
-of the log, so that no two entries can take more from a service together than its floor allows. What
-a host does is judged by what was read back and heard lately: a host not heard of serves nothing.
+Hosts load the next release in addition to the one they serve, and change over in waves. Each wave
+is one log entry, so that two entries cannot together take more capacity from a service than its
+floor allows. The state of a host is taken from its recent heartbeats; a host without one counts as
+serving nothing.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,7 +15,7 @@
 from lacewinggw.generated.messages.ttypes import Heartbeat, TargetState
 
 PERCENT = 100
-MIN_WAVE_DIVISOR = 8  # a wave smaller than one in so many hosts waits a little for others
+MIN_WAVE_DIVISOR = 8  # a wave of less than 1 in 8 hosts waits up to `WAVE_WAIT_S` for more
 WAVE_WAIT_S = 1.0
 PLACER_PURPOSE = "placer"
 COORDINATOR_COUNT = 2
@@ -22,11 +23,11 @@
 
 @dataclass(frozen=True)
 class HostProgress:
-    """How far one host of a service is.
+    """The change-over progress of one host of a service.
 
-    `turning` is whether it still serves the old release with the next one to come; `ready` whether
-    that is loaded; `serving` whether it was lately heard to serve what it is now to serve; `empty`
-    whether it was lately heard to be still fetching that, with nothing to serve.
+    `is_changing_over`: it has a next release. `is_ready`: the next release is loaded. `is_serving`:
+    its recent heartbeat reports that it serves its current release. `is_empty`: its recent
+    heartbeat reports that it is still fetching that release and has nothing to serve.
     """
 
     is_changing_over: bool
@@ -39,10 +40,10 @@
 
 
 def is_coordinator(host: str, entries: Iterable[str]) -> bool:
-    """Return whether an entry is one of the few that hear every host of a changing service.
+    """Return whether an entry is one that receives heartbeats of all hosts of a changing service.
 
-    They are the ones whose turn to place comes first; the others hear a subset of the hosts, and
-    would judge the rest to serve nothing.
+    These are the first placers by rank. The other entries receive heartbeats of a subset of the
+    hosts, and would count the rest as serving nothing.
     """
     return (
         rendezvous_rank(PLACER_PURPOSE, host, [each for each in entries if each != host])
@@ -51,14 +52,14 @@
 
 
 def min_serving_hosts(replicas: int, floor_percent: int) -> int:
-    """Return how many hosts have to go on serving; one may always be spared."""
+    """Return how many hosts must keep serving; at least one may always change over."""
     return min(ceil(replicas * floor_percent / PERCENT), max(replicas - 1, 0))
 
 
 def measure_progress(
     state: FleetState, service: str, heartbeats: Mapping[str, Heartbeat]
 ) -> dict[str, HostProgress]:
-    """Return how far each host of a service is, by the heartbeats that came when they were due."""
+    """Return the progress of each host of a service, from the heartbeats that are current."""
     upcoming = state.next_releases_of(service)
     return {
         host: _measure_host(
@@ -70,14 +71,14 @@
     }
 
 
-def _measure_host(digest: str, next_digest: str, heard: Heartbeat | None) -> HostProgress:
-    if heard is None:
+def _measure_host(digest: str, next_digest: str, heartbeat: Heartbeat | None) -> HostProgress:
+    if heartbeat is None:
         return HostProgress(is_changing_over=bool(next_digest), is_ready=False, is_serving=False)
     return HostProgress(
         is_changing_over=bool(next_digest),
-        is_ready=bool(next_digest) and heard.ready_digest == next_digest,
-        is_serving=heard.state == TargetState.SERVING and heard.digest == digest,
-        is_empty=heard.state == TargetState.FETCHING and not heard.digest,
+        is_ready=bool(next_digest) and heartbeat.ready_digest == next_digest,
+        is_serving=heartbeat.state == TargetState.SERVING and heartbeat.digest == digest,
+        is_empty=heartbeat.state == TargetState.FETCHING and not heartbeat.digest,
     )
 
 
@@ -86,18 +87,18 @@
 ) -> tuple[str, ...]:
     """Return the hosts that change over now, in the order of their rendezvous rank.
 
-    `waited_s` is how long some host has been ready and waiting. A host that is ready and serves
-    nothing costs no capacity, and so changes over at once. When the release was replaced before
-    it came to any host, all leave it at once, rather than fetch first what nobody wants any more.
+    `waited_s` is how long a host has been ready and waiting. A host that is ready but serves
+    nothing changes over at once, as that costs no capacity. If a release is replaced before any
+    host has it, all hosts change over at once instead of fetching a release that is not needed.
     """
     if _none_has_begun(progress):
-        return tuple(_within(list(progress), progress, 0, service))
+        return tuple(_limit_serving(list(progress), progress, 0, service))
     ready = [host for host, each in progress.items() if each.is_changing_over and each.is_ready]
     if not ready:
         return ()
     serving = sum(1 for each in progress.values() if each.is_serving)
     spare = serving - min_serving_hosts(len(progress), floor_percent)
-    wave = list(_within(ready, progress, spare, service))
+    wave = list(_limit_serving(ready, progress, spare, service))
     turning = sum(1 for each in progress.values() if each.is_changing_over)
     enough = min(ceil(len(progress) / MIN_WAVE_DIVISOR), turning, max(spare, 1))
     if len(wave) < enough and waited_s < WAVE_WAIT_S:
@@ -111,8 +112,10 @@
     )
 
 
-def _within(ready: list[str], progress: ProgressByHost, spare: int, service: str) -> Iterable[str]:
-    """Yield ready hosts, by rank, as long as those that still serve are to spare."""
+def _limit_serving(
+    ready: list[str], progress: ProgressByHost, spare: int, service: str
+) -> Iterable[str]:
+    """Yield ready hosts by rank; of those that serve, at most `spare`."""
     for host in sorted(ready, key=lambda each: (-rendezvous_weight(service, each), each)):
         if progress[host].is_serving:
             if spare <= 0:
--- a/tests/fleet/test_storeclock.py
+++ b/tests/fleet/test_storeclock.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lacewinggw.decisions.storeclock import DIFFERENCE_RETENTION_S, StoreClock
+from lacewinggw.decisions.storeclock import OFFSET_RETENTION_S, StoreClock
 
 AHEAD_S = 5000.0  # of the store's clock
 
@@ -42,7 +42,7 @@
 def test_calls_long_ago_do_not_count_as_clocks_drift():
     clock = StoreClock()
     clock.estimate_composed_at(10.0, 10.0, told(10.0))
-    late = 10.0 + DIFFERENCE_RETENTION_S + 1
+    late = 10.0 + OFFSET_RETENTION_S + 1
     assert clock.estimate_composed_at(late, late + 2.0, told(late + 1.0)) == late
 
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -26,7 +26,7 @@
     ("silent target", SERVE_OLD, ObservedState(False), WaitForChange("the target does not answer")),
     ("nothing wanted", None, ObservedState(True, OLD, frozenset({OLD})), Retire()),
     ("plain service", DesiredState("desk", "", ""), ObservedState(True), Serve("")),
-    ("fresh engine", SERVE_OLD, ObservedState(True), WaitForChange("the manifest is not here yet")),
+    ("fresh engine", SERVE_OLD, ObservedState(True), WaitForChange("the manifest has not arrived")),
     (
         "chunks arrive",
         SERVE_OLD,
@@ -37,7 +37,7 @@
         "chunks missing",
         SERVE_OLD,
         ObservedState(True, progress=StagingProgress(2, 2, 8)),
-        WaitForChange("2 of 8 chunks are here"),
+        WaitForChange("2 of 8 chunks have arrived"),
     ),
     ("all staged", SERVE_OLD, ObservedState(True, progress=StagingProgress(8, 8, 8)), Load(OLD)),
     ("loaded", SERVE_OLD, ObservedState(True, "", frozenset({OLD})), Activate(OLD)),
@@ -86,7 +86,7 @@
         "turned before its weights were here",
         SERVE_NEW,
         ObservedState(True, OLD, frozenset({OLD}), StagingProgress(1, 1, 8)),
-        WaitForChange("1 of 8 chunks are here"),
+        WaitForChange("1 of 8 chunks have arrived"),
     ),
 ]
 
