--- a/src/lacewinggw/decisions/lifecycle.py
+++ b/src/lacewinggw/decisions/lifecycle.py
@@ -16,7 +16,7 @@
     """What the configuration assigns to one host.
 
     `digest` is the release to serve, empty for a plain service. `next_digest` is the release to
-    load in addition, so that the host can change over when its wave comes; empty when no change is
+    load in addition, so that the host can switch when its wave comes; empty when no change is
     under way. `role` and `adapters` are those of the service, as the engine names them.
     """
 
@@ -128,7 +128,7 @@
 def incoming_digest(desired: DesiredState | None, active: str, loaded: Collection[str]) -> str:
     """Return the digest of the release to load next, empty if none.
 
-    The release to serve comes before the one to change over to.
+    The release to serve comes before the one to switch to.
     """
     if desired is None:
         return ""
--- a/src/lacewinggw/decisions/placement.py
+++ b/src/lacewinggw/decisions/placement.py
@@ -4,7 +4,7 @@
 changes that give each service its declared replicas. A host that serves a declared release is
 never moved, not even to balance a service over places; new hosts come from the places that have
 the fewest. A host that serves another release of its service keeps serving it until its wave
-changes over.
+switches.
 """
 
 from collections import Counter
--- a/src/lacewinggw/decisions/revisions.py
+++ b/src/lacewinggw/decisions/revisions.py
@@ -155,7 +155,7 @@
     """The whole configuration at `revision`.
 
     `placements` maps each service to its hosts and the release that each serves, `""` for a plain
-    service. `upcoming` has the next release of the hosts that are to change over. Only `apply`
+    service. `upcoming` has the next release of the hosts that are to switch. Only `apply`
     modifies the state.
     """
 
@@ -232,11 +232,11 @@
         return self.placements.get(service, {})
 
     def next_releases_of(self, service: str) -> Assignments:
-        """Return the hosts of a service that are to change over, and to which release."""
+        """Return the hosts of a service that are to switch, and to which release."""
         return self.upcoming.get(service, {})
 
     def final_releases_of(self, service: str) -> Assignments:
-        """Return the hosts of a service and the release of each after it has changed over."""
+        """Return the hosts of a service and the release of each after it has switched."""
         return {**self.hosts_of(service), **self.next_releases_of(service)}
 
     def placed_hosts(self) -> KeysView[str]:
--- a/src/lacewinggw/decisions/waves.py
+++ b/src/lacewinggw/decisions/waves.py
@@ -1,6 +1,6 @@
-"""Choose the hosts of a service that change over to its next release now.
+"""Choose the hosts of a service that switch to its next release now.
 
-Hosts load the next release in addition to the one they serve, and change over in waves. Each wave
+Hosts load the next release in addition to the one they serve, and switch in waves. Each wave
 is one log entry, so that two entries cannot together take more capacity from a service than its
 floor allows. The state of a host is taken from its recent heartbeats; a host without one counts as
 serving nothing.
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class HostProgress:
-    """The change-over progress of one host of a service.
+    """The rollout progress of one host of a service.
 
     `is_changing_over`: it has a next release. `is_ready`: the next release is loaded. `is_serving`:
     its recent heartbeat reports that it serves its current release. `is_empty`: its recent
@@ -52,7 +52,7 @@
 
 
 def min_serving_hosts(replicas: int, floor_percent: int) -> int:
-    """Return how many hosts must keep serving; at least one may always change over."""
+    """Return how many hosts must keep serving; at least one may always switch."""
     return min(ceil(replicas * floor_percent / PERCENT), max(replicas - 1, 0))
 
 
@@ -85,11 +85,11 @@
 def choose_wave(
     service: str, progress: ProgressByHost, floor_percent: int, waited_s: float
 ) -> tuple[str, ...]:
-    """Return the hosts that change over now, in the order of their rendezvous rank.
+    """Return the hosts that switch now, in the order of their rendezvous rank.
 
     `waited_s` is how long a host has been ready and waiting. A host that is ready but serves
-    nothing changes over at once, as that costs no capacity. If a release is replaced before any
-    host has it, all hosts change over at once instead of fetching a release that is not needed.
+    nothing switches at once, as that costs no capacity. If a release is replaced before any
+    host has it, all hosts switch at once instead of fetching a release that is not needed.
     """
     if _none_has_begun(progress):
         return tuple(_limit_serving(list(progress), progress, 0, service))
--- a/tests/fleet/spread_links.py
+++ b/tests/fleet/spread_links.py
@@ -1,7 +1,8 @@
-"""Hosts that spread one release over modelled links, without sockets, in virtual time.
+"""Hosts that distribute one release over modelled links, without sockets, in virtual time.
 
-Each direction of a host's link is a queue of slices: the uplink is paced and sends a few chunks by
-turns, as agents do, and the downlink takes them in as they come. Only the decisions are real.
+Each direction of a host's link is a queue of slices. The uplink is paced and interleaves the slices
+of a few chunks, as agents do; the downlink receives slices in order of arrival. Only the decisions
+are those of the product.
 """
 
 import heapq
@@ -27,7 +28,7 @@
 CHUNK_BYTES = 32768
 CHUNKS = 64
 LINK_BYTES_PER_S = 475_000  # 3.8 Mbit/s
-WEIGHTS_SHARE = 0.86  # of an uplink: the rest is left to live answers
+WEIGHTS_SHARE = 0.86  # of an uplink; the rest is for live answers
 SLICES = CHUNK_BYTES // MIN_SLICE_BYTES
 ORIGIN_BYTES_PER_S = 1_237_500  # 9.9 Mbit/s
 LATENCY_S = 0.002
@@ -47,7 +48,7 @@
 
 @dataclass
 class Upload:
-    """A chunk on its way out, and how many of its slices have been sent."""
+    """A chunk being uploaded, and the number of its slices that were sent."""
 
     request: UploadRequest
     slices: int = 0
@@ -55,7 +56,7 @@
 
 @dataclass
 class OriginSend:
-    """A chunk on its way from the origin, and how many of its slices have been sent."""
+    """A chunk being sent by the origin, and the number of its slices that were sent."""
 
     host: "Host"
     index: int
@@ -64,10 +65,10 @@
 
 @dataclass
 class Host:
-    """One host: its decisions, its link and what it has to send."""
+    """One host: its scheduler, its link and its uploads."""
 
     due: ReleaseHost
-    spread: ChunkScheduler
+    scheduler: ChunkScheduler
     rate: Rate
     queue: UploadQueue = field(default_factory=lambda: UploadQueue(2))
     turns: deque[Upload] = field(default_factory=deque)
@@ -77,13 +78,13 @@
 
 
 class LinkedHosts:
-    """A whole fleet, run to its end.
+    """A fleet that runs until every host has the release.
 
     fleet = LinkedHosts({"hall": 5, "room": 5}, rates={"hall-0": lambda now: 119_000})
     fleet.run()
 
-    `waits` are the times that slices stood in queues before the links of their receivers. The
-    origin refuses connections from the first to the second moment of `origin_away`.
+    `waits` are the seconds that slices waited in the queues of their receivers' links. The origin
+    refuses connections from the first to the second time in `origin_away`.
     """
 
     def __init__(
@@ -107,26 +108,26 @@
         self._numbers = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._from_origin: deque[OriginSend] = deque()
-        dues = [
+        release_hosts = [
             ReleaseHost(HostId(f"{place}-{number}"), Place(place))
             for place, count in places.items()
             for number in range(count)
         ]
         self.hosts: dict[HostId, Host] = {}
-        for due in dues:
-            spread = ChunkScheduler([CHUNK_BYTES] * CHUNKS, rules, due.place, self._rng, 0.0)
-            spread.set_topology(plan.derive(due, dues, DIGEST), 0.0)
+        for due in release_hosts:
+            scheduler = ChunkScheduler([CHUNK_BYTES] * CHUNKS, rules, due.place, self._rng, 0.0)
+            scheduler.set_topology(plan.derive(due, release_hosts, DIGEST), 0.0)
             rate = (rates or {}).get(due.host, lambda now: LINK_BYTES_PER_S)
-            self.hosts[due.host] = Host(due, spread, rate)
-        self._link_all(dues, plan)
+            self.hosts[due.host] = Host(due, scheduler, rate)
+        self._link_all(release_hosts, plan)
 
     @property
     def completed(self) -> dict[HostId, float | None]:
-        """When each host had the release whole."""
+        """The time at which each host had the complete release, None if it has not."""
         return {name: host.completed_at for name, host in self.hosts.items()}
 
     def run(self, until_s: float = 60.0) -> None:
-        """Run until every host has the release, or for `until_s`."""
+        """Run until every host has the release, or for `until_s` seconds."""
         for host in self.hosts.values():
             self._at(self._rng.random() * DECIDE_INTERVAL_S, lambda host=host: self._tick(host))
         while self._events and any(each.completed_at is None for each in self.hosts.values()):
@@ -138,21 +139,26 @@
     def _at(self, delay_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay_s, next(self._numbers), event))
 
-    def _link_all(self, dues: list[ReleaseHost], plan: TopologyRules) -> None:
-        wished = {due.host: plan.derive(due, dues, DIGEST).neighbours for due in dues}
-        for due in dues:
-            for other in dues:
-                if other.host in wished[due.host] or due.host in wished[other.host]:
-                    spread = self.hosts[due.host].spread
-                    spread.add_neighbour(other.host, other.place, Incarnation("first"))
-                    spread.record_held_chunks(other.host, (), 0.0)
+    def _link_all(self, release_hosts: list[ReleaseHost], plan: TopologyRules) -> None:
+        neighbours_by_host = {
+            due.host: plan.derive(due, release_hosts, DIGEST).neighbours for due in release_hosts
+        }
+        for due in release_hosts:
+            for other in release_hosts:
+                if (
+                    other.host in neighbours_by_host[due.host]
+                    or due.host in neighbours_by_host[other.host]
+                ):
+                    scheduler = self.hosts[due.host].scheduler
+                    scheduler.add_neighbour(other.host, other.place, Incarnation("first"))
+                    scheduler.record_held_chunks(other.host, (), 0.0)
 
     def _tick(self, host: Host) -> None:
         self._decide(host)
         self._at(DECIDE_INTERVAL_S, lambda: self._tick(host))
 
     def _decide(self, host: Host) -> None:
-        for action in host.spread.decide(self.now):
+        for action in host.scheduler.decide(self.now):
             match action:
                 case RequestChunk(Neighbour(name), index):
                     self._at(LATENCY_S, lambda n=name, i=index: self._queue(n, host, i))
@@ -166,7 +172,9 @@
         gone_at, back_at = self._origin_away
         if gone_at <= self.now < back_at:
             lost = FetchFailure.LOST
-            self._at(LATENCY_S, lambda: host.spread.record_failure(ORIGIN, index, lost, self.now))
+            self._at(
+                LATENCY_S, lambda: host.scheduler.record_failure(ORIGIN, index, lost, self.now)
+            )
             return
         self.origin_chunks += 1
         self._from_origin.append(OriginSend(host, index))
@@ -174,7 +182,7 @@
             self._send_origin_slice()
 
     def _send_origin_slice(self) -> None:
-        """Send the next slice: the connections to the origin share its link."""
+        """Send the next slice; the connections to the origin share its link."""
         send = self._from_origin[0]
         self._at(MIN_SLICE_BYTES / self._origin_bytes_per_s, lambda: self._end_origin(send))
 
@@ -196,13 +204,15 @@
             return
         source = Neighbour(name)
         busy = FetchFailure.BUSY
-        self._at(LATENCY_S, lambda: receiver.spread.record_failure(source, index, busy, self.now))
+        self._at(
+            LATENCY_S, lambda: receiver.scheduler.record_failure(source, index, busy, self.now)
+        )
 
     def _send_next(self, sender: Host) -> None:
         if sender.sending:
             return
         while len(sender.turns) < self._uploads_at_once:
-            request = sender.queue.take(lambda host, _: len(self.hosts[host].spread.held))
+            request = sender.queue.take(lambda host, _: len(self.hosts[host].scheduler.held))
             if request is None:
                 break
             sender.turns.append(Upload(request))
@@ -210,8 +220,8 @@
             return
         sender.sending = True
         upload = sender.turns.popleft()
-        took_s = MIN_SLICE_BYTES / (WEIGHTS_SHARE * sender.rate(self.now))
-        self._at(took_s, lambda: self._end_slice(sender, upload))
+        send_s = MIN_SLICE_BYTES / (WEIGHTS_SHARE * sender.rate(self.now))
+        self._at(send_s, lambda: self._end_slice(sender, upload))
 
     def _end_slice(self, sender: Host, upload: Upload) -> None:
         sender.sending = False
@@ -227,7 +237,7 @@
         self._send_next(sender)
 
     def _receive(self, host: Host, source: Source, index: int, size: int, is_last: bool) -> None:
-        """Have bytes wait for the receiver's link, then take the chunk in with its last ones."""
+        """Queue bytes at the receiver's link; the last bytes complete the chunk."""
         begin = max(self.now, host.down_free_at)
         self.waits.append(begin - self.now)
         host.down_free_at = begin + size / host.rate(self.now)
@@ -235,19 +245,19 @@
             self._at(host.down_free_at - self.now, lambda: self._take(host, source, index))
 
     def _take(self, host: Host, source: Source, index: int) -> None:
-        if index in host.spread.held:
+        if index in host.scheduler.held:
             return
         if isinstance(source, Neighbour):
             self.border_chunks += self.hosts[source.host].due.place != host.due.place
-        host.spread.record_arrival(source, index, self.now)
-        if host.spread.is_complete:
+        host.scheduler.record_arrival(source, index, self.now)
+        if host.scheduler.is_complete:
             host.completed_at = self.now
-        for name in list(host.spread.neighbours):
+        for name in list(host.scheduler.neighbours):
             other = self.hosts[name]
             waiting = len(host.queue)
             self._at(
                 LATENCY_S,
-                lambda o=other, w=waiting: o.spread.record_held_chunks(
+                lambda o=other, w=waiting: o.scheduler.record_held_chunks(
                     host.due.host, [index], self.now, w
                 ),
             )
--- a/tests/fleet/test_knowledge.py
+++ b/tests/fleet/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What a process believes, and how long: keys, denials, targets and versions."""
+"""The cached view of a process: how long it covers keys and denials, its targets and versions."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture
-def knowledge():
+def view():
     return RoutingView(RULES)
 
 
@@ -27,208 +27,208 @@
     return TargetEntry(name, "desk", address, "hall", phase, weights=weights, born_ms=born_ms)
 
 
-def test_nothing_is_covered_before_the_routes_are_known(knowledge):
-    knowledge.confirm_routes(10.0)
-    assert not knowledge.can_accept_keys(10.0) and not knowledge.can_deny_unknown(10.0)
+def test_no_key_and_no_denial_before_the_routes_arrive(view):
+    view.confirm_routes(10.0)
+    assert not view.can_accept_keys(10.0) and not view.can_deny_unknown(10.0)
 
 
-def test_keys_are_covered_until_the_bound_and_denials_for_less(knowledge):
-    knowledge.update_routes(RouteTable(3))
-    knowledge.confirm_routes(10.0)
-    assert [knowledge.can_accept_keys(now) for now in (10.0, 14.9, 15.0)] == [True, True, False]
-    assert [knowledge.can_deny_unknown(now) for now in (10.0, 11.9, 12.0)] == [True, True, False]
+def test_keys_are_accepted_longer_than_unknown_routes_are_denied(view):
+    view.update_routes(RouteTable(3))
+    view.confirm_routes(10.0)
+    assert [view.can_accept_keys(now) for now in (10.0, 14.9, 15.0)] == [True, True, False]
+    assert [view.can_deny_unknown(now) for now in (10.0, 11.9, 12.0)] == [True, True, False]
 
 
-def test_a_denial_counts_from_what_was_seen_and_a_key_from_what_is_sure(knowledge):
-    knowledge.update_routes(RouteTable(3))
-    knowledge.confirm_routes(10.0, observed_at=11.2)
-    assert [knowledge.can_deny_unknown(now) for now in (13.1, 13.2)] == [True, False]
-    assert [knowledge.can_accept_keys(now) for now in (14.9, 15.0)] == [True, False]
+def test_denials_count_from_observation_and_keys_from_confirmation(view):
+    view.update_routes(RouteTable(3))
+    view.confirm_routes(10.0, observed_at=11.2)
+    assert [view.can_deny_unknown(now) for now in (13.1, 13.2)] == [True, False]
+    assert [view.can_accept_keys(now) for now in (14.9, 15.0)] == [True, False]
 
 
-def test_what_is_known_to_be_newer_elsewhere_ends_denials_until_it_is_here(knowledge):
-    knowledge.update_routes(RouteTable(3))
-    knowledge.confirm_routes(10.0)
-    knowledge.confirm_version(4)
-    assert not knowledge.can_deny_unknown(10.1) and knowledge.can_accept_keys(10.1)
-    knowledge.update_routes(RouteTable(4))
-    assert knowledge.can_deny_unknown(10.1)
+def test_a_newer_version_elsewhere_stops_denials_until_it_arrives(view):
+    view.update_routes(RouteTable(3))
+    view.confirm_routes(10.0)
+    view.confirm_version(4)
+    assert not view.can_deny_unknown(10.1) and view.can_accept_keys(10.1)
+    view.update_routes(RouteTable(4))
+    assert view.can_deny_unknown(10.1)
 
 
-def test_a_proof_is_of_the_version_that_it_names(knowledge):
-    knowledge.update_routes(RouteTable(3))
-    knowledge.confirm_routes(10.0)
-    knowledge.confirm_version(4, 12.0)
-    knowledge.confirm_version(2, 13.0)
-    assert knowledge.routes_age_s(13.0) == 3.0
-    knowledge.confirm_version(4, 11.0)
-    knowledge.update_routes(RouteTable(4))
-    assert knowledge.routes_age_s(13.0) == 1.0
-    knowledge.confirm_version(4, 12.5)
-    assert knowledge.routes_age_s(13.0) == 0.5
+def test_a_confirmation_applies_to_its_version_only(view):
+    view.update_routes(RouteTable(3))
+    view.confirm_routes(10.0)
+    view.confirm_version(4, 12.0)
+    view.confirm_version(2, 13.0)
+    assert view.routes_age_s(13.0) == 3.0
+    view.confirm_version(4, 11.0)
+    view.update_routes(RouteTable(4))
+    assert view.routes_age_s(13.0) == 1.0
+    view.confirm_version(4, 12.5)
+    assert view.routes_age_s(13.0) == 0.5
 
 
-def test_a_frozen_process_wakes_up_with_old_knowledge(knowledge):
-    knowledge.update_routes(RouteTable(3))
-    knowledge.confirm_routes(10.0)
-    woken_at = 10.0 + 7.0
-    assert not knowledge.can_accept_keys(woken_at)
+def test_a_suspended_process_resumes_with_an_outdated_view(view):
+    view.update_routes(RouteTable(3))
+    view.confirm_routes(10.0)
+    resumed_at = 10.0 + 7.0
+    assert not view.can_accept_keys(resumed_at)
 
 
-def test_a_proof_that_comes_late_does_not_make_knowledge_older(knowledge):
-    knowledge.update_routes(RouteTable(3))
-    knowledge.confirm_routes(10.0)
-    knowledge.confirm_routes(8.0)
-    assert knowledge.routes_age_s(11.0) == 1.0
+def test_a_late_confirmation_does_not_increase_the_age(view):
+    view.update_routes(RouteTable(3))
+    view.confirm_routes(10.0)
+    view.confirm_routes(8.0)
+    assert view.routes_age_s(11.0) == 1.0
 
 
-def test_versions_of_the_routes_only_rise(knowledge):
-    assert knowledge.update_routes(RouteTable(5))
-    assert not knowledge.update_routes(RouteTable(4))
-    assert not knowledge.update_routes(RouteTable(5))
-    assert knowledge.routes.version == 5
+def test_route_versions_only_increase(view):
+    assert view.update_routes(RouteTable(5))
+    assert not view.update_routes(RouteTable(4))
+    assert not view.update_routes(RouteTable(5))
+    assert view.routes.version == 5
 
 
-def test_a_target_that_leaves_never_comes_back(knowledge):
-    knowledge.update_target(target("a"))
-    knowledge.update_target(target("a", TargetPhase.LEAVING))
-    knowledge.update_target(target("a"))
-    assert "a" in knowledge.leaving
+def test_a_leaving_target_never_becomes_usable_again(view):
+    view.update_target(target("a"))
+    view.update_target(target("a", TargetPhase.LEAVING))
+    view.update_target(target("a"))
+    assert "a" in view.leaving
 
 
-def test_what_left_long_ago_is_forgotten_once_the_list_lacks_it(knowledge):
-    knowledge.update_target(target("a", TargetPhase.LEAVING))
-    knowledge.update_target(target("bb", TargetPhase.LEAVING))
-    knowledge.remove_delisted("a", now=100.0)
+def test_departed_targets_are_removed_some_time_after_delisting(view):
+    view.update_target(target("a", TargetPhase.LEAVING))
+    view.update_target(target("bb", TargetPhase.LEAVING))
+    view.remove_delisted("a", now=100.0)
     for now in (100.0, 159.0):
-        knowledge.expire(now)
-        assert set(knowledge.leaving) == {"a", "bb"}
-    knowledge.expire(160.0)
-    assert set(knowledge.leaving) == {"bb"}
+        view.expire(now)
+        assert set(view.leaving) == {"a", "bb"}
+    view.expire(160.0)
+    assert set(view.leaving) == {"bb"}
 
 
-def test_a_target_that_left_the_list_is_gone_at_once_while_the_store_is_sound(knowledge):
-    knowledge.update_target(target("a"))
-    knowledge.remove_delisted("a", now=100.0)
-    assert "a" not in knowledge.targets
+def test_a_delisted_target_is_removed_at_once_without_an_outage(view):
+    view.update_target(target("a"))
+    view.remove_delisted("a", now=100.0)
+    assert "a" not in view.targets
 
 
-def test_a_target_that_lapsed_in_an_outage_is_believed_for_a_while(knowledge):
-    knowledge.update_target(target("a"))
-    knowledge.update_target(target("b"))
-    knowledge.record_outage_end(100.0)
-    knowledge.replace_targets([], now=100.1)
-    assert set(knowledge.targets) == {"a", "b"}
-    knowledge.update_target(target("b"))
-    knowledge.expire(101.95)
-    assert set(knowledge.targets) == {"b"}
+def test_a_target_delisted_in_an_outage_stays_in_use_for_a_while(view):
+    view.update_target(target("a"))
+    view.update_target(target("b"))
+    view.record_outage_end(100.0)
+    view.replace_targets([], now=100.1)
+    assert set(view.targets) == {"a", "b"}
+    view.update_target(target("b"))
+    view.expire(101.95)
+    assert set(view.targets) == {"b"}
 
 
-def test_one_that_was_leaving_is_not_believed_after_an_outage(knowledge):
-    knowledge.update_target(target("a", TargetPhase.LEAVING))
-    knowledge.record_outage_end(100.0)
-    knowledge.replace_targets([], now=100.1)
-    assert not knowledge.targets
+def test_a_leaving_target_is_removed_after_an_outage(view):
+    view.update_target(target("a", TargetPhase.LEAVING))
+    view.record_outage_end(100.0)
+    view.replace_targets([], now=100.1)
+    assert not view.targets
 
 
-def test_each_named_version_has_its_own_bound(knowledge):
-    knowledge.require_version(DueVersion("market", 2), 100.0)
-    knowledge.require_version(DueVersion("market", 3), 103.0)
-    least = [knowledge.min_version("market", now) for now in (107.4, 107.5, 110.4, 110.5)]
+def test_each_named_version_has_its_own_deadline(view):
+    view.require_version(DueVersion("market", 2), 100.0)
+    view.require_version(DueVersion("market", 3), 103.0)
+    least = [view.min_version("market", now) for now in (107.4, 107.5, 110.4, 110.5)]
     assert least == [0, 2, 2, 3]
 
 
-def test_what_has_not_begun_by_the_bound_must_not_begin(knowledge):
-    knowledge.update_target(target("a", market=1))
-    knowledge.update_target(target("b", market=2))
-    knowledge.require_version(DueVersion("market", 2), 100.0)
-    knowledge.require_version(DueVersion("market", 3), 103.0)
-    assert knowledge.start_deadline("a", "market") == 107.5
-    assert knowledge.start_deadline("b", "market") == 110.5
+def test_no_request_may_start_after_the_deadline(view):
+    view.update_target(target("a", market=1))
+    view.update_target(target("b", market=2))
+    view.require_version(DueVersion("market", 2), 100.0)
+    view.require_version(DueVersion("market", 3), 103.0)
+    assert view.start_deadline("a", "market") == 107.5
+    assert view.start_deadline("b", "market") == 110.5
 
 
-def test_a_version_named_before_this_process_began_counts_soon(knowledge):
-    knowledge.require_version(DueVersion("market", 2), 100.0, old=True)
-    assert knowledge.min_version("market", 102.0) == 0
-    assert knowledge.min_version("market", 102.5) == 2
+def test_a_version_named_before_this_process_started_is_due_sooner(view):
+    view.require_version(DueVersion("market", 2), 100.0, old=True)
+    assert view.min_version("market", 102.0) == 0
+    assert view.min_version("market", 102.5) == 2
 
 
-def test_weights_only_rise_within_one_start_of_a_target(knowledge):
-    knowledge.update_target(target("a", market=1))
-    assert knowledge.update_weights("a", {"market": 2})
-    knowledge.update_target(target("a", market=1))
-    assert knowledge.targets["a"].weights == {"market": 2}
-    assert not knowledge.update_weights("gone", {"market": 2})
+def test_weight_versions_only_increase_within_one_incarnation(view):
+    view.update_target(target("a", market=1))
+    assert view.update_weights("a", {"market": 2})
+    view.update_target(target("a", market=1))
+    assert view.targets["a"].weights == {"market": 2}
+    assert not view.update_weights("gone", {"market": 2})
 
 
-# ---- starts of a target under one name ------------------------------------------------------
+# ---- incarnations of a target under one name ---------------------------------------------------
 
 
-def test_a_start_that_drained_and_left_does_not_keep_the_next_one_out(knowledge):
-    knowledge.update_target(target("a", TargetPhase.LEAVING, born_ms=1))
-    knowledge.remove_delisted("a", now=100.0)
-    knowledge.update_target(target("a", born_ms=2))
-    assert set(knowledge.targets) == {"a/2"} and "a/2" not in knowledge.leaving
+def test_a_departed_incarnation_does_not_block_the_next_one(view):
+    view.update_target(target("a", TargetPhase.LEAVING, born_ms=1))
+    view.remove_delisted("a", now=100.0)
+    view.update_target(target("a", born_ms=2))
+    assert set(view.targets) == {"a/2"} and "a/2" not in view.leaving
 
 
-def test_a_new_start_ends_the_one_before_and_holds_nothing_of_it(knowledge):
-    knowledge.update_target(target("a", born_ms=1, market=3))
-    knowledge.update_target(target("a", born_ms=2))
-    assert set(knowledge.targets) == {"a/2"}
-    assert knowledge.targets["a/2"].weights == {}
-    assert not knowledge.update_weights("a/1", {"market": 4})
+def test_a_new_incarnation_replaces_the_previous_one_without_its_weights(view):
+    view.update_target(target("a", born_ms=1, market=3))
+    view.update_target(target("a", born_ms=2))
+    assert set(view.targets) == {"a/2"}
+    assert view.targets["a/2"].weights == {}
+    assert not view.update_weights("a/1", {"market": 4})
 
 
-@pytest.mark.parametrize("gone_between", [False, True])
-def test_what_is_read_late_of_the_start_before_changes_nothing(knowledge, gone_between):
-    knowledge.update_target(target("a", born_ms=2))
-    if gone_between:
-        knowledge.remove_delisted("a", now=100.0)
-    knowledge.update_target(target("a", born_ms=1, market=3))
-    assert set(knowledge.targets) == (set() if gone_between else {"a/2"})
+@pytest.mark.parametrize("delisted_between", [False, True])
+def test_a_stale_read_of_the_previous_incarnation_is_ignored(view, delisted_between):
+    view.update_target(target("a", born_ms=2))
+    if delisted_between:
+        view.remove_delisted("a", now=100.0)
+    view.update_target(target("a", born_ms=1, market=3))
+    assert set(view.targets) == (set() if delisted_between else {"a/2"})
 
 
-def test_a_new_start_that_is_listed_after_an_outage_is_the_only_one(knowledge):
-    knowledge.update_target(target("a", born_ms=1))
-    knowledge.record_outage_end(100.0)
-    knowledge.replace_targets([], now=100.1)
-    knowledge.update_target(target("a", born_ms=2))
-    knowledge.expire(100.2)
-    assert set(knowledge.targets) == {"a/2"}
-    knowledge.expire(103.0)
-    assert set(knowledge.targets) == {"a/2"}
+def test_only_the_new_incarnation_remains_after_an_outage(view):
+    view.update_target(target("a", born_ms=1))
+    view.record_outage_end(100.0)
+    view.replace_targets([], now=100.1)
+    view.update_target(target("a", born_ms=2))
+    view.expire(100.2)
+    assert set(view.targets) == {"a/2"}
+    view.expire(103.0)
+    assert set(view.targets) == {"a/2"}
 
 
-def test_a_start_that_its_host_says_is_over_gets_nothing_before_the_list_says_so(knowledge):
-    knowledge.update_target(target("a", born_ms=1))
-    knowledge.record_incarnation("a", 1)
-    assert not knowledge.leaving
-    knowledge.record_incarnation("a", 2)
-    assert knowledge.leaving == {"a/1"}
-    knowledge.record_incarnation("a", 1)  # news that was held up
-    knowledge.update_target(target("a", born_ms=2))
-    assert set(knowledge.targets) == {"a/2"} and "a/2" not in knowledge.leaving
+def test_an_incarnation_reported_as_ended_is_leaving_before_the_list_changes(view):
+    view.update_target(target("a", born_ms=1))
+    view.record_incarnation("a", 1)
+    assert not view.leaving
+    view.record_incarnation("a", 2)
+    assert view.leaving == {"a/1"}
+    view.record_incarnation("a", 1)  # a delayed report
+    view.update_target(target("a", born_ms=2))
+    assert set(view.targets) == {"a/2"} and "a/2" not in view.leaving
 
 
-def test_a_target_whose_entry_cannot_be_read_is_let_go_until_it_can_be(knowledge):
-    knowledge.update_target(target("a", born_ms=1))
-    knowledge.record_outage_end(100.0)
-    knowledge.remove_unreadable("a")
-    assert not knowledge.targets
-    knowledge.update_target(target("a", born_ms=1))
-    assert set(knowledge.targets) == {"a/1"}
+def test_a_target_with_an_unreadable_entry_is_removed_until_it_is_readable(view):
+    view.update_target(target("a", born_ms=1))
+    view.record_outage_end(100.0)
+    view.remove_unreadable("a")
+    assert not view.targets
+    view.update_target(target("a", born_ms=1))
+    assert set(view.targets) == {"a/1"}
 
 
-def test_starts_that_are_long_gone_are_forgotten(knowledge):
-    knowledge.update_target(target("a", born_ms=5))
-    knowledge.remove_delisted("a", now=100.0)
-    knowledge.expire(100.0)
-    knowledge.expire(161.0)
-    knowledge.update_target(target("a", born_ms=4))
-    assert set(knowledge.targets) == {"a/4"}
+def test_old_incarnations_are_forgotten(view):
+    view.update_target(target("a", born_ms=5))
+    view.remove_delisted("a", now=100.0)
+    view.expire(100.0)
+    view.expire(161.0)
+    view.update_target(target("a", born_ms=4))
+    assert set(view.targets) == {"a/4"}
 
 
-def test_a_birth_says_nothing_where_the_list_tells_none(knowledge):
-    knowledge.update_target(target("a"))
-    knowledge.record_incarnation("a", 7)
-    assert not knowledge.leaving and set(knowledge.targets) == {"a"}
+def test_a_reported_start_time_is_ignored_if_the_list_has_none(view):
+    view.update_target(target("a"))
+    view.record_incarnation("a", 7)
+    assert not view.leaving and set(view.targets) == {"a"}
--- a/tests/fleet/test_narrow_border.py
+++ b/tests/fleet/test_narrow_border.py
@@ -1,12 +1,12 @@
-"""Changes of the routes beyond borders that have little room left.
-
-Operators added 2,000 routes at once. Three seconds after the store had confirmed it, entries of
-two regions of three answered 404 for routes that were there ("refused with 404 as an older version
-says; version 24 was acked more than 3000 ms before"), and from 24.589 to 25.498 s 26 of 27 became
-unready, five seconds after the last proof that they had; the region of the store was well. The
-routes are a row of half a megabyte, and a border has 14.5 Mbit/s for everything. Each entry fetched
-them for itself, and a transfer not done in 0.5 to 3.2 s was cut off and begun anew, so that
-the borders carried beginnings of copies for good, and nobody had a whole one.
+"""Changes of large routes across slow links between regions (borders).
+
+Guards against fetching one copy of the routes per entry. The routes were a row of 0.5 MB after
+operators had added 2,000 of them, and a border had 14.5 Mbit/s in total. Each entry fetched its own
+copy and restarted transfers that took more than 0.5 to 3.2 s, so the borders carried only partial
+copies. 3 s after the store's confirmation, entries in two of three regions answered 404 for
+existing routes ("refused with 404 as an older version says; version 24 was acked more than 3000 ms
+before"). From 24.589 to 25.498 s, 26 of 27 entries became unready, 5 s after the last confirmation
+that their routes were current. The region of the store was not affected.
 """
 
 import asyncio
@@ -25,13 +25,13 @@
 
 STORE_IP = "10.9.0.1"
 ENGINE_IP = "10.2.0.1"
-REGIONS = {"hall": "north", "room": "south", "shed": "east"}  # the store stands in the north
-IN_FORCE_S = 3.0  # a change that was confirmed
-SHORTEST_IN_FORCE_S = 2.0  # the same where it is shortest
+REGIONS = {"hall": "north", "room": "south", "shed": "east"}  # the store is in the north
+IN_FORCE_S = 3.0  # the bound for a confirmed change
+SHORTEST_IN_FORCE_S = 2.0  # the shortest value of the same bound
 
 
-def grown_routes(version, extra):
-    """Return routes with so many more, whose names are as hard to pack as real ones."""
+def large_routes(version, extra):
+    """Return routes with `extra` more, whose random names compress as poorly as real ones."""
     draw = random.Random(extra)
     routes = manifest(version)
     first = routes["Routes"][0]
@@ -43,8 +43,8 @@
 
 
 @asynccontextmanager
-async def parted_fleet(counts, border_bytes_per_s):
-    """Run entries in places whose regions are joined by narrow borders."""
+async def regional_fleet(counts, border_bytes_per_s):
+    """Run entries in places whose regions are connected by slow borders."""
     places = [place for place, count in counts.items() for _ in range(count)]
     async with running_fleet(entries=0) as fleet:
         regions = {f"10.1.0.{number}": REGIONS[place] for number, place in enumerate(places, 1)}
@@ -60,17 +60,17 @@
     return [table.version if table is not None else 0 for table in tables]
 
 
-async def test_large_routes_are_in_force_beyond_a_border_in_time():
-    """A copy as it lies in the store takes 4.1 s over one border, if nothing else crosses it.
+async def test_large_routes_are_in_force_across_a_border_in_time():
+    """A copy in the format of the store takes 4.1 s over an otherwise idle border.
 
-    Once they are there nothing of them crosses a border again.
+    After the routes have arrived, no part of them crosses a border again.
     """
-    routes = grown_routes(5, extra=700)
+    routes = large_routes(5, extra=700)
     assert 4 / 3 * len(json.dumps(routes)) > 4 * 60_000
-    async with parted_fleet({"hall": 3, "room": 6, "shed": 6}, 60_000) as fleet:
+    async with regional_fleet({"hall": 3, "room": 6, "shed": 6}, 60_000) as fleet:
         before = fleet.network.crossed_bytes("north", "south")
         await asyncio.sleep(5.0)
-        usual = fleet.network.crossed_bytes("north", "south") - before
+        baseline = fleet.network.crossed_bytes("north", "south") - before
         fleet.store.put("op", "config", routes)
         for _ in range(12):
             await asyncio.sleep(IN_FORCE_S / 12)
@@ -79,23 +79,23 @@
         await asyncio.sleep(1.0)
         before = fleet.network.crossed_bytes("north", "south")
         await asyncio.sleep(5.0)
-        assert fleet.network.crossed_bytes("north", "south") - before < 1.3 * usual
+        assert fleet.network.crossed_bytes("north", "south") - before < 1.3 * baseline
 
 
-async def test_an_answer_that_keeps_coming_is_read_to_its_end():
-    """One entry alone beyond the border: the routes take six seconds, and are there once."""
-    routes = grown_routes(5, extra=700)
+async def test_a_slow_answer_that_makes_progress_is_read_to_its_end():
+    """With one entry across the border, the routes take 6 s and arrive in one transfer."""
+    routes = large_routes(5, extra=700)
     size = 4 / 3 * len(json.dumps(routes))
-    async with parted_fleet({"room": 1}, size / 6) as fleet:
+    async with regional_fleet({"room": 1}, size / 6) as fleet:
         fleet.store.put("op", "config", routes)
         await asyncio.sleep(7.5)
         assert versions(fleet) == [5]
 
 
-async def test_an_answer_that_stands_still_is_given_up():
-    routes = grown_routes(5, extra=700)
+async def test_a_stalled_answer_is_abandoned():
+    routes = large_routes(5, extra=700)
     size = 4 / 3 * len(json.dumps(routes))
-    async with parted_fleet({"room": 1}, size / 6) as fleet:
+    async with regional_fleet({"room": 1}, size / 6) as fleet:
         fleet.store.put("op", "config", routes)
         await asyncio.sleep(2.0)
         fleet.network.hold(STORE_IP)
@@ -103,28 +103,30 @@
         assert fleet.entries[0]._store._followers[0].lost_since is not None
 
 
-async def test_what_is_new_is_not_denied_by_an_entry_that_knows_that_it_is_behind():
-    """Two entries across the border know newer routes; those take six seconds to arrive.
+async def test_an_entry_with_outdated_routes_does_not_deny_new_ones():
+    """Two entries across the border have newer routes, which take 6 s to arrive.
 
-    Either of them told a third entry how old its own, newer routes were, and that one took it for a
-    proof of the routes that it had, and answered 404 for what was new.
+    Guards against an entry that takes the reported age of a peer's newer routes as confirmation of
+    its own older routes, and answers 404 for new routes.
     """
-    routes = grown_routes(5, extra=700)
+    routes = large_routes(5, extra=700)
     added = routes["Routes"][-1]
-    async with parted_fleet({"hall": 2, "room": 1}, 12_000) as fleet:
+    async with regional_fleet({"hall": 2, "room": 1}, 12_000) as fleet:
         fleet.network.cut("10.1.0.3", STORE_IP)
         await asyncio.sleep(1.0)
         fleet.store.put("op", "config", routes)
         await asyncio.sleep(IN_FORCE_S)
         for _ in range(10):
             await asyncio.sleep(0.25)
-            reply = await fleet.ask(f"{added['Prefix']}1", entry=2, Host=added["Host"], X_Key=KEY)
-            assert reply.status != 404
+            response = await fleet.ask(
+                f"{added['Prefix']}1", entry=2, Host=added["Host"], X_Key=KEY
+            )
+            assert response.status != 404
 
 
-async def test_entries_whose_readers_fall_silent_do_not_all_read_at_once():
-    """Two readers of eight freeze, and nobody beyond the border answers either."""
-    async with parted_fleet({"hall": 1, "room": 8}, 1_000_000) as fleet:
+async def test_entries_do_not_all_read_at_once_when_their_readers_hang():
+    """Two readers of eight entries hang, and no entry across the border answers either."""
+    async with regional_fleet({"hall": 1, "room": 8}, 1_000_000) as fleet:
         here = sorted(range(2, 10), key=lambda number: reader_sort_key(f"entry-{number}"))
         rest = here[2:]
         for number in here:
@@ -145,14 +147,14 @@
         assert len(reading) <= 3, reading
 
 
-async def test_a_fleet_that_starts_anew_with_large_routes_serves_soon():
-    """Power is lost everywhere while the routes are large.
+async def test_a_restarted_fleet_with_large_routes_serves_soon():
+    """All entries restart at once while the routes are large, as after a power failure.
 
-    Each entry read them whole as it started: six copies over each border, one of which takes 2.5 s
-    alone, and nobody beyond it was ready until all were there.
+    Guards against one full copy per starting entry: six copies crossed each border, one alone takes
+    2.5 s, and no entry across the border was ready until all had arrived.
     """
-    routes = grown_routes(5, extra=700)
-    async with parted_fleet({"hall": 3, "room": 6, "shed": 6}, 100_000) as fleet:
+    routes = large_routes(5, extra=700)
+    async with regional_fleet({"hall": 3, "room": 6, "shed": 6}, 100_000) as fleet:
         fleet.store.put("op", "config", routes)
         await asyncio.sleep(4.0)
         before = [*fleet.entries]
@@ -167,10 +169,10 @@
         assert all(entry.is_ready for entry in fleet.entries)
 
 
-async def test_an_agent_that_an_entry_tells_reads_no_whole_copy_of_the_routes():
-    routes = grown_routes(5, extra=700)
+async def test_an_agent_updated_by_an_entry_reads_no_full_copy_of_the_routes():
+    routes = large_routes(5, extra=700)
     size = 4 / 3 * len(json.dumps(routes))
-    async with parted_fleet({"hall": 1, "room": 2}, size / 8) as fleet:
+    async with regional_fleet({"hall": 1, "room": 2}, size / 8) as fleet:
         fleet.store.put("op", "config", routes)
         fleet.network.part_regions({ENGINE_IP: "south"}, size / 8)
         await asyncio.sleep(4.0)
@@ -181,14 +183,14 @@
         assert fleet.network.crossed_bytes("north", "south") - before < size / 3
 
 
-async def test_entries_whose_informants_fall_silent_read_the_store_without_asking_all_of_them():
-    """Two entries tell of newer routes and freeze; the store turned the others away until then."""
-    async with parted_fleet({"hall": 2, "room": 3}, 1_000_000) as fleet:
+async def test_entries_read_the_store_when_the_announcing_peers_hang():
+    """Two entries announce newer routes and hang; until then the store rejects the others."""
+    async with regional_fleet({"hall": 2, "room": 3}, 1_000_000) as fleet:
         here = [f"10.1.0.{number}" for number in (3, 4, 5)]
         for ip in here:
             fleet.network.cut(ip, STORE_IP)
         await asyncio.sleep(0.2)
-        fleet.store.put("op", "config", grown_routes(5, extra=20))
+        fleet.store.put("op", "config", large_routes(5, extra=20))
         await wait_while(
             lambda: not all(each._fetcher.is_fetching for each in fleet.entries[2:]), 0.0005
         )
@@ -196,7 +198,7 @@
             fleet.network.hold(f"10.1.0.{number}")
         for ip in here:
             fleet.network.heal(ip, STORE_IP)
-        await asyncio.sleep(1.3)  # one of them was given up after 0.8 s
+        await asyncio.sleep(1.3)  # the request to one of them is abandoned after 0.8 s
         assert 5 in versions(fleet)[2:]
         await asyncio.sleep(SHORTEST_IN_FORCE_S - 1.3)
         assert versions(fleet)[2:] == [5] * 3
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix, client accounts, and the parts of a split."""
+"""Routes: the longest prefix, client accounts and weighted splits."""
 
 import pytest
 
@@ -55,6 +55,6 @@
     assert drawn.count("old") == 90 and drawn.count("new") == 10
 
 
-def test_a_service_without_weight_gets_nothing():
+def test_a_service_with_weight_zero_gets_no_requests():
     shares = (ServiceShare("old", 1), ServiceShare("new", 0))
     assert {pick_service(shares, draw) for draw in (0.0, 0.5, 0.999999, 1.0)} == {"old"}
--- a/tests/machines/test_log_machine.py
+++ b/tests/machines/test_log_machine.py
@@ -1,4 +1,4 @@
-"""Replicas of the configuration under any order of news, snapshots and replacement."""
+"""Replicas of the configuration, with updates, snapshots and replacements in any order."""
 
 import random
 
@@ -50,7 +50,7 @@
 
 
 class LogMachine(RuleBasedStateMachine):
-    """Accept entries, and let news of them reach replicas late, twice, with gaps or not at all."""
+    """Accept entries, and deliver them to replicas late, twice, with gaps or not at all."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
     @rule(to=replicas, offset=st.integers(-2, 2), count=st.integers(1, 5))
     def deliver(self, to: int, offset: int, count: int) -> None:
-        """Deliver news from a little before to a little after what the replica needs next."""
+        """Deliver entries from slightly before to slightly after the next one of the replica."""
         first = max(0, self.replicas[to].revision + offset)
         self.replicas[to].offer(self.log[first : first + count])
 
@@ -87,7 +87,7 @@
 
     @rule(which=replicas, source=replicas)
     def replace(self, which: int, source: int) -> None:
-        """A fresh process starts from a peer that is not behind what it replaces."""
+        """A new process starts from a peer that is not behind the replica that it replaces."""
         if self.replicas[source].revision < self.seen[which]:
             return
         snapshot = self.replicas[source].state.to_snapshot()
@@ -96,7 +96,7 @@
 
     @rule(to=replicas, revision=st.integers(0, 30))
     def apply_out_of_order(self, to: int, revision: int) -> None:
-        """The state itself refuses what does not follow directly."""
+        """The state refuses an entry that does not have the next revision."""
         state = self.replicas[to].state
         if revision == state.revision + 1 or not 0 < revision <= len(self.log):
             return
@@ -118,7 +118,7 @@
             assert fingerprint(replica.state) == self.states[replica.revision]
 
     def teardown(self) -> None:
-        """Whatever came before, a replica that hears everything in order is up to date."""
+        """A replica that receives all entries in order is up to date, whatever came before."""
         for replica in self.replicas:
             replica.offer(self.log)
             assert replica.revision == len(self.log)
--- a/tests/machines/test_spread_machine.py
+++ b/tests/machines/test_spread_machine.py
@@ -1,4 +1,4 @@
-"""Hosts that spread a release among themselves, under any order of arrivals and failures."""
+"""Hosts that distribute a release among themselves, in any order of arrivals and failures."""
 
 import random
 from dataclasses import dataclass, field
@@ -29,12 +29,12 @@
 
 @dataclass
 class Host:
-    """One host, its decisions and what it has asked for."""
+    """One host, its scheduler and its pending requests."""
 
     due: ReleaseHost
-    spread: ChunkScheduler
+    scheduler: ChunkScheduler
     incarnation: Incarnation
-    asked: list[RequestChunk] = field(default_factory=list)
+    requests: list[RequestChunk] = field(default_factory=list)
 
 
 def due_host(number: int) -> ReleaseHost:
@@ -42,7 +42,7 @@
 
 
 class SpreadMachine(RuleBasedStateMachine):
-    """Carry out what hosts ask for, well or badly, in any order."""
+    """Answer the requests of hosts, correctly or not, in any order."""
 
     @initialize(per_place=st.booleans(), seed=st.integers(0, 1000))
     def begin(self, per_place: bool, seed: int) -> None:
@@ -57,18 +57,20 @@
         due = due_host(number)
         rng = random.Random(f"{self.seed}/{number}/{self.now}")
         sizes = [CHUNK_BYTES] * CHUNKS
-        spread = ChunkScheduler(sizes, self.rules, due.place, rng, self.now)
+        scheduler = ChunkScheduler(sizes, self.rules, due.place, rng, self.now)
         everyone = [due_host(each) for each in range(HOSTS)]
-        spread.set_topology(self.plan.derive(due, everyone, DIGEST), self.now)
-        return Host(due, spread, Incarnation(f"{number} from {self.now}"))
+        scheduler.set_topology(self.plan.derive(due, everyone, DIGEST), self.now)
+        return Host(due, scheduler, Incarnation(f"{number} from {self.now}"))
 
     def link_all(self) -> None:
-        """Link every two hosts and let them tell what they hold."""
+        """Connect all pairs of hosts and exchange what they hold."""
         for host in self.hosts:
             for other in self.hosts:
                 if other is not host:
-                    host.spread.add_neighbour(other.due.host, other.due.place, other.incarnation)
-                    host.spread.record_held_chunks(other.due.host, other.spread.held, self.now)
+                    host.scheduler.add_neighbour(other.due.host, other.due.place, other.incarnation)
+                    host.scheduler.record_held_chunks(
+                        other.due.host, other.scheduler.held, self.now
+                    )
 
     @rule(ticks=st.integers(1, 30))
     def advance(self, ticks: int) -> None:
@@ -78,66 +80,78 @@
                 self.decide(host)
 
     def decide(self, host: Host) -> None:
-        for action in host.spread.decide(self.now):
+        for action in host.scheduler.decide(self.now):
             match action:
                 case RequestChunk():
-                    self.check_ask(host, action)
-                    host.asked.append(action)
+                    self.check_request(host, action)
+                    host.requests.append(action)
                 case CancelRequest(source, index):
                     self.drop(host, source, index)
 
-    def check_ask(self, host: Host, ask: RequestChunk) -> None:
-        assert ask.index in host.spread.missing, "asked for what it holds"
-        if isinstance(ask.source, Neighbour):
-            holder = self.host_named(ask.source.host)
-            assert holder is not host, "asked itself"
-            state = host.spread.neighbours[ask.source.host]
-            assert ask.index in state.chunks, "asked a neighbour that never showed the chunk"
+    def check_request(self, host: Host, request: RequestChunk) -> None:
+        assert request.index in host.scheduler.missing, "requested a chunk that it holds"
+        if isinstance(request.source, Neighbour):
+            holder = self.host_named(request.source.host)
+            assert holder is not host, "requested a chunk from itself"
+            state = host.scheduler.neighbours[request.source.host]
+            assert (
+                request.index in state.chunks
+            ), "requested a chunk that the neighbour never announced"
             assert len(state.requested) <= self.rules.in_flight
 
     def host_named(self, name: str) -> Host:
         return next(host for host in self.hosts if host.due.host == name)
 
     def drop(self, host: Host, source: object, index: int) -> None:
-        host.asked = [ask for ask in host.asked if (ask.source, ask.index) != (source, index)]
+        host.requests = [
+            request
+            for request in host.requests
+            if (request.source, request.index) != (source, index)
+        ]
 
     @rule(which=hosts, pick=st.integers(0, 100))
     def deliver(self, which: int, pick: int) -> None:
         host = self.hosts[which]
-        if host.asked:
-            self.deliver_ask(host, host.asked.pop(pick % len(host.asked)))
-
-    def deliver_ask(self, host: Host, ask: RequestChunk) -> None:
-        holder = self.host_named(ask.source.host) if isinstance(ask.source, Neighbour) else None
-        if holder is not None and ask.index not in holder.spread.held:
-            host.spread.record_failure(ask.source, ask.index, FetchFailure.REFUSED, self.now)
+        if host.requests:
+            self.deliver_request(host, host.requests.pop(pick % len(host.requests)))
+
+    def deliver_request(self, host: Host, request: RequestChunk) -> None:
+        holder = (
+            self.host_named(request.source.host) if isinstance(request.source, Neighbour) else None
+        )
+        if holder is not None and request.index not in holder.scheduler.held:
+            host.scheduler.record_failure(
+                request.source, request.index, FetchFailure.REFUSED, self.now
+            )
             return
-        for cancel in host.spread.record_arrival(ask.source, ask.index, self.now):
+        for cancel in host.scheduler.record_arrival(request.source, request.index, self.now):
             self.drop(host, cancel.source, cancel.index)
         for other in self.hosts:
             if other is not host:
-                other.spread.record_held_chunks(host.due.host, [ask.index], self.now)
+                other.scheduler.record_held_chunks(host.due.host, [request.index], self.now)
 
     @rule(which=hosts, failure=st.sampled_from(list(FetchFailure)))
     def fail(self, which: int, failure: FetchFailure) -> None:
         host = self.hosts[which]
-        if host.asked:
-            ask = host.asked.pop(0)
-            host.spread.record_failure(ask.source, ask.index, failure, self.now)
+        if host.requests:
+            request = host.requests.pop(0)
+            host.scheduler.record_failure(request.source, request.index, failure, self.now)
 
     @rule(which=hosts)
     def lose(self, which: int) -> None:
-        """A source takes a request and is never heard of again."""
-        if self.hosts[which].asked:
-            self.hosts[which].asked.pop(0)
+        """A source accepts a request and never answers it."""
+        if self.hosts[which].requests:
+            self.hosts[which].requests.pop(0)
 
     @rule(which=hosts)
     def replace(self, which: int) -> None:
-        """A host dies and another takes its place, empty."""
-        lost = self.hosts[which].due.host
+        """A host fails and is replaced by an empty one."""
+        failed = self.hosts[which].due.host
         for host in self.hosts:
-            host.spread.remove_neighbour(lost)
-            host.asked = [ask for ask in host.asked if ask.source != Neighbour(lost)]
+            host.scheduler.remove_neighbour(failed)
+            host.requests = [
+                request for request in host.requests if request.source != Neighbour(failed)
+            ]
         self.hosts[which] = self.make_host(which)
         self.link_all()
 
@@ -145,28 +159,28 @@
     def claim_falsely(self, which: int, other: int, indexes: list[int]) -> None:
         """A neighbour announces chunks that it does not hold, or that do not exist."""
         if which != other:
-            self.hosts[which].spread.record_held_chunks(
+            self.hosts[which].scheduler.record_held_chunks(
                 self.hosts[other].due.host, indexes, self.now
             )
 
     @invariant()
     def holds_or_misses_each_chunk(self) -> None:
         for host in getattr(self, "hosts", ()):
-            assert host.spread.held | host.spread.missing == set(range(CHUNKS))
-            assert not host.spread.held & host.spread.missing
+            assert host.scheduler.held | host.scheduler.missing == set(range(CHUNKS))
+            assert not host.scheduler.held & host.scheduler.missing
 
     def teardown(self) -> None:
-        """Once nothing fails any more, every host comes to hold every chunk."""
+        """Without further failures, every host eventually holds every chunk."""
         if not hasattr(self, "hosts"):
             return
         for _ in range(LIMIT_TICKS):
             self.advance(1)
             for host in self.hosts:
-                while host.asked:
-                    self.deliver_ask(host, host.asked.pop(0))
-            if all(host.spread.is_complete for host in self.hosts):
+                while host.requests:
+                    self.deliver_request(host, host.requests.pop(0))
+            if all(host.scheduler.is_complete for host in self.hosts):
                 return
-        missing = {host.due.host: host.spread.missing for host in self.hosts}
+        missing = {host.due.host: host.scheduler.missing for host in self.hosts}
         raise AssertionError(f"after {LIMIT_TICKS * DECIDE_INTERVAL_S} s still missing: {missing}")
 
 
--- a/tests/test_change_over.py
+++ b/tests/test_change_over.py
@@ -1,4 +1,4 @@
-"""A service moves to another release: hosts load it first and change over in their turn."""
+"""A service gets another release: hosts load it first and switch to it in waves."""
 
 from lacewinggw.agent.process import desired_state, due_releases
 from lacewinggw.decisions.placement import HostInfo, plan_placement
@@ -22,8 +22,8 @@
     accept(state, messages.PutService(service))
 
 
-def settle(state, hosts=HOSTS, lost=()):
-    places = plan_placement(state, hosts, lost).places
+def place_all(state, hosts=HOSTS, dead=()):
+    places = plan_placement(state, hosts, dead).places
     if places:
         accept(state, *places)
     return places
@@ -39,55 +39,55 @@
         ),
     )
     declare(state, "market-6")
-    settle(state)
+    place_all(state)
     return state
 
 
-def test_hosts_go_on_serving_while_they_load_the_next_release():
+def test_hosts_keep_serving_while_they_load_the_next_release():
     state = serving_market_6()
     declare(state, "market-7")
-    settle(state)
+    place_all(state)
     assert set(state.hosts_of("citation-llm").values()) == {"market-6"}
     assert set(state.next_releases_of("citation-llm").values()) == {"market-7"}
-    assert settle(state) == []
+    assert place_all(state) == []
 
 
-def test_a_turn_is_one_assignment():
+def test_a_switch_is_one_assignment():
     state = serving_market_6()
     declare(state, "market-7")
-    settle(state)
+    place_all(state)
     host = min(state.hosts_of("citation-llm"))
-    turn = messages.Assignment(host, "citation-llm", "market-7")
-    accept(state, messages.Place("citation-llm", [turn], "turn", []))
+    wave = messages.Assignment(host, "citation-llm", "market-7")
+    accept(state, messages.Place("citation-llm", [wave], "wave", []))
     assert state.hosts_of("citation-llm")[host] == "market-7"
     assert host not in state.next_releases_of("citation-llm")
-    assert settle(state) == []
+    assert place_all(state) == []
 
 
 def test_a_replacement_starts_with_the_new_release():
     state = serving_market_6()
     declare(state, "market-7")
-    settle(state)
+    place_all(state)
     before = set(state.hosts_of("citation-llm"))
-    lost = min(before)
-    settle(state, lost={lost})
-    fresh = set(state.hosts_of("citation-llm")) - before
-    assert lost not in state.hosts_of("citation-llm")
-    assert [state.hosts_of("citation-llm")[host] for host in fresh] == ["market-7"]
-    assert not fresh & set(state.next_releases_of("citation-llm"))
+    dead = min(before)
+    place_all(state, dead={dead})
+    added = set(state.hosts_of("citation-llm")) - before
+    assert dead not in state.hosts_of("citation-llm")
+    assert [state.hosts_of("citation-llm")[host] for host in added] == ["market-7"]
+    assert not added & set(state.next_releases_of("citation-llm"))
 
 
-def test_going_back_takes_the_next_release_away():
+def test_reverting_removes_the_next_release():
     state = serving_market_6()
     declare(state, "market-7")
-    settle(state)
+    place_all(state)
     declare(state, "market-6")
-    settle(state)
+    place_all(state)
     assert state.next_releases_of("citation-llm") == {}
     assert set(state.hosts_of("citation-llm").values()) == {"market-6"}
 
 
-def test_a_drained_host_is_wanted_for_nothing_before_it_is_replaced():
+def test_a_drained_host_has_no_desired_state_before_it_is_replaced():
     state = serving_market_6()
     host = min(state.hosts_of("citation-llm"))
     assert desired_state(state, host).release == "market-6"
@@ -96,21 +96,21 @@
     assert desired_state(state, host) is None
 
 
-def test_an_agent_is_wanted_for_both_releases_while_it_changes_over():
+def test_an_agent_holds_both_releases_before_it_switches():
     state = serving_market_6()
     declare(state, "market-7")
-    settle(state)
+    place_all(state)
     host = min(state.hosts_of("citation-llm"))
-    wanted = desired_state(state, host)
-    assert (wanted.digest, wanted.next_digest) == ("aa", "bb")
+    desired = desired_state(state, host)
+    assert (desired.digest, desired.next_digest) == ("aa", "bb")
     due = due_releases(state, host)
     assert {digest: len(each.hosts) for digest, each in due.items()} == {"aa": 4, "bb": 4}
 
 
-def test_a_snapshot_keeps_whose_turn_is_to_come():
+def test_a_snapshot_keeps_the_next_releases():
     state = serving_market_6()
     declare(state, "market-7")
-    settle(state)
-    again = FleetState.from_snapshot(state.to_snapshot())
-    assert again.upcoming == state.upcoming
-    assert again.placements == state.placements
+    place_all(state)
+    restored = FleetState.from_snapshot(state.to_snapshot())
+    assert restored.upcoming == state.upcoming
+    assert restored.placements == state.placements
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The steps of a target towards what the configuration wants."""
+"""The steps of a target towards its desired state."""
 
 import pytest
 
@@ -23,8 +23,13 @@
 SERVE_NEW = DesiredState("writer", "market-7", NEW)
 
 CASES = [
-    ("silent target", SERVE_OLD, ObservedState(False), WaitForChange("the target does not answer")),
-    ("nothing wanted", None, ObservedState(True, OLD, frozenset({OLD})), Retire()),
+    (
+        "unreachable target",
+        SERVE_OLD,
+        ObservedState(False),
+        WaitForChange("the target does not answer"),
+    ),
+    ("no assignment", None, ObservedState(True, OLD, frozenset({OLD})), Retire()),
     ("plain service", DesiredState("desk", "", ""), ObservedState(True), Serve("")),
     ("fresh engine", SERVE_OLD, ObservedState(True), WaitForChange("the manifest has not arrived")),
     (
@@ -49,15 +54,15 @@
         Load(NEW, serving=True),
     ),
     (
-        "both loaded, not its turn",
+        "both loaded, not in this wave",
         PREPARE_NEW,
         ObservedState(True, OLD, frozenset({OLD, NEW})),
         Serve(OLD),
     ),
-    ("its turn", SERVE_NEW, ObservedState(True, OLD, frozenset({OLD, NEW})), Activate(NEW)),
-    ("changed over", SERVE_NEW, ObservedState(True, NEW, frozenset({OLD, NEW})), Unload((OLD,))),
+    ("in this wave", SERVE_NEW, ObservedState(True, OLD, frozenset({OLD, NEW})), Activate(NEW)),
+    ("switched", SERVE_NEW, ObservedState(True, NEW, frozenset({OLD, NEW})), Unload((OLD,))),
     (
-        "engine activated what nobody wants",
+        "engine activated another release",
         SERVE_OLD,
         ObservedState(True, NEW, frozenset({OLD, NEW})),
         Activate(OLD),
@@ -71,7 +76,7 @@
         Reconfigure("decode", ("fijian",), ("notes",)),
     ),
     (
-        "adapted",
+        "reconfigured",
         DesiredState("writer", "market-6", OLD, adapters=frozenset({"radio"})),
         ObservedState(True, OLD, frozenset({OLD}), adapters=frozenset({"radio"})),
         Serve(OLD),
@@ -83,7 +88,7 @@
         Activate(OLD),
     ),
     (
-        "turned before its weights were here",
+        "switched before its weights arrived",
         SERVE_NEW,
         ObservedState(True, OLD, frozenset({OLD}), StagingProgress(1, 1, 8)),
         WaitForChange("1 of 8 chunks have arrived"),
@@ -92,9 +97,9 @@
 
 
 @pytest.mark.parametrize(
-    ("wanted", "observed", "step"),
+    ("desired", "observed", "step"),
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_next_step(wanted, observed, step):
-    assert next_step(wanted, observed) == step
+def test_next_step(desired, observed, step):
+    assert next_step(desired, observed) == step
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which hosts serve what: the pure decisions."""
+"""The pure decisions: placement of services, and detection of dead hosts."""
 
 from collections import Counter
 
@@ -46,15 +46,15 @@
     state.apply(LogEntry(revision, f"c{revision}", "test", 0, revision - 1, list(changes), ""))
 
 
-def place(state: FleetState, hosts: Hosts, lost: frozenset[str] = frozenset()) -> PlacementPlan:
-    """Plan, accept what is planned, and check that nothing is left to do."""
-    plan = plan_placement(state, hosts, lost)
+def place(state: FleetState, hosts: Hosts, dead: frozenset[str] = frozenset()) -> PlacementPlan:
+    """Plan and accept a placement, and check that no further change is planned."""
+    plan = plan_placement(state, hosts, dead)
     if plan.places:
         accept(state, *(change_of(each) for each in plan.places))
-    assert plan_placement(state, hosts, lost).places == []
+    assert plan_placement(state, hosts, dead).places == []
     short = {each.service for each in plan.shortfalls}
     assert all(
-        is_fully_placed(state, name, hosts, lost) for name in state.services if name not in short
+        is_fully_placed(state, name, hosts, dead) for name in state.services if name not in short
     )
     return plan
 
@@ -67,7 +67,7 @@
     return change_of(SetDrain(host, True))
 
 
-def test_replicas_are_spread_over_places_each_release_too() -> None:
+def test_replicas_of_each_release_are_balanced_over_places() -> None:
     state = state_of(release("m6"), release("m7"), service("desk", ("m7", 6), ("m6", 3)))
     hosts = make_hosts(12)
     place(state, hosts)
@@ -77,7 +77,7 @@
     assert set(per_place.values()) == {2, 1}
 
 
-def test_a_new_release_changes_hosts_where_they_are() -> None:
+def test_a_new_release_is_assigned_to_the_present_hosts() -> None:
     state = state_of(release("m6"), release("m7"), service("desk", ("m6", 6)))
     hosts = make_hosts(12)
     place(state, hosts)
@@ -88,7 +88,7 @@
     assert moves(plan) == 4
 
 
-def test_fewer_replicas_leave_the_most_crowded_place() -> None:
+def test_fewer_replicas_are_removed_from_the_fullest_places() -> None:
     state = state_of(release("m"), service("desk", ("m", 6)))
     hosts = make_hosts(6)
     place(state, hosts)
@@ -98,7 +98,7 @@
     assert {hosts[host].place for host in state.hosts_of("desk")} == {"a", "b", "c"}
 
 
-def test_a_lost_rack_is_one_entry_with_the_fewest_moves() -> None:
+def test_a_dead_rack_is_replaced_in_one_plan_with_the_fewest_moves() -> None:
     state = state_of(release("m"), service("one", ("m", 6)), service("two", ("m", 6)))
     hosts = make_hosts(18)
     place(state, hosts)
@@ -109,7 +109,7 @@
     assert rack.isdisjoint(state.placed_hosts())
 
 
-def test_a_host_that_is_not_listed_but_not_lost_stays() -> None:
+def test_an_unlisted_host_that_is_not_dead_stays_placed() -> None:
     state = state_of(release("m"), service("desk", ("m", 4)))
     hosts = make_hosts(8)
     place(state, hosts)
@@ -118,7 +118,7 @@
     assert plan_placement(state, listed).places == []
 
 
-def test_most_changes_concern_no_host() -> None:
+def test_most_changes_affect_no_placement() -> None:
     def entry(*changes: Change) -> list[LogEntry]:
         return [LogEntry(1, "c", "test", 0, 0, list(changes), "")]
 
@@ -130,7 +130,7 @@
     assert not declares_any(entry(service("desk", ("m", 2))), {"other"})
 
 
-def test_a_placement_is_refused_only_when_something_it_depends_on_moved() -> None:
+def test_a_placement_is_refused_only_if_a_dependency_changed() -> None:
     state = state_of(release("m"), service("desk", ("m", 2)), service("other", ("m", 1)))
     place = change_of(Place("desk", [], "test", []))
     read = state.revision
@@ -154,7 +154,7 @@
     assert {first, second}.isdisjoint(state.placed_hosts())
 
 
-def test_dead_hosts_that_nothing_can_replace_keep_their_place() -> None:
+def test_dead_hosts_without_a_replacement_stay_placed() -> None:
     state = state_of(release("m"), service("desk", ("m", 3)))
     hosts = make_hosts(3)
     place(state, hosts)
@@ -163,7 +163,7 @@
     assert [str(each) for each in plan.shortfalls] == ["desk on m lacks 2 hosts"]
 
 
-def test_plain_services_go_where_their_targets_are() -> None:
+def test_plain_services_are_placed_on_their_targets() -> None:
     plain = change_of(PutService(Service("ledger", ServiceKind.PLAIN, [ReplicaGoal("", 2)])))
     state = state_of(plain, release("m"), service("desk", ("m", 3)))
     hosts = make_hosts(4)
@@ -192,12 +192,12 @@
 
 
 @given(events)
-def test_whatever_happens_no_host_serves_twice_and_nothing_is_planned_twice(
+def test_no_host_serves_twice_and_no_plan_is_repeated(
     script: list[tuple[str, int, int]],
 ) -> None:
     state = state_of(release("m0"), release("m1"), service("a", ("m0", 2)), service("b", ("m1", 2)))
     hosts = make_hosts(8)
-    lost: set[str] = set()
+    dead: set[str] = set()
     for kind, number, count in script:
         match kind:
             case "set":
@@ -206,26 +206,26 @@
             case "drain":
                 accept(state, drain(f"h{number}"))
             case "lose":
-                lost.add(f"h{number}")
+                dead.add(f"h{number}")
                 hosts.pop(f"h{number}", None)
             case "add":
                 hosts[f"n{number}"] = HostInfo(f"n{number}", "abc"[number % 3])
         before = whole_assignments(state)
-        plan = place(state, hosts, frozenset(lost))
+        plan = place(state, hosts, frozenset(dead))
         assert all(len(state.assignments_of(host)) == 1 for host in state.placed_hosts())
         for name in "ab":
-            wanted = {goal.release: goal.replicas for goal in state.services[name].goals}
+            declared = {goal.release: goal.replicas for goal in state.services[name].goals}
             missing = {
                 each.release: each.missing for each in plan.shortfalls if each.service == name
             }
             live = Counter(
-                r for host, r in state.final_releases_of(name).items() if host not in lost
+                r for host, r in state.final_releases_of(name).items() if host not in dead
             )
-            for release_name, replicas in wanted.items():
+            for release_name, replicas in declared.items():
                 assert live[release_name] == replicas - missing.get(release_name, 0)
-        touched = {each.host for p in plan.places for each in p.assignments}
+        affected = {each.host for p in plan.places for each in p.assignments}
         after = whole_assignments(state)
-        assert all(after[host] != before.get(host) for host in touched)
+        assert all(after[host] != before.get(host) for host in affected)
 
 
 def test_snapshots_hold_the_whole_state() -> None:
@@ -243,40 +243,40 @@
 PLACED = [f"h{n}" for n in range(6)]
 
 
-def test_a_host_missing_from_the_list_but_heard_is_not_lost() -> None:
-    watch = HostFailureDetector(dead_after_s=10)
+def test_an_unlisted_host_with_heartbeats_is_not_dead() -> None:
+    detector = HostFailureDetector(dead_after_s=10)
     for now in range(60):
-        watch.update_listed(PLACED[1:], PLACED, now)
-        assert watch.find_dead(HeartbeatTimes(dict.fromkeys(PLACED, now)), PLACED, now) == set()
+        detector.update_listed(PLACED[1:], PLACED, now)
+        assert detector.find_dead(HeartbeatTimes(dict.fromkeys(PLACED, now)), PLACED, now) == set()
 
 
-def test_a_host_missing_and_silent_is_lost_once_both_have_lasted() -> None:
-    watch = HostFailureDetector(dead_after_s=10)
-    watch.update_listed(PLACED, PLACED, 0)
-    heard = HeartbeatTimes({"h0": 0.0} | dict.fromkeys(PLACED[1:], 30.0))
-    assert watch.find_dead(heard, PLACED, 25) == set()
-    watch.update_listed(PLACED[1:], PLACED, 25)
-    assert watch.find_dead(heard, PLACED, 26) == set()
-    assert watch.find_dead(heard, PLACED, 27.5) == {"h0"}
+def test_an_unlisted_and_silent_host_is_dead_after_both_delays() -> None:
+    detector = HostFailureDetector(dead_after_s=10)
+    detector.update_listed(PLACED, PLACED, 0)
+    heartbeats = HeartbeatTimes({"h0": 0.0} | dict.fromkeys(PLACED[1:], 30.0))
+    assert detector.find_dead(heartbeats, PLACED, 25) == set()
+    detector.update_listed(PLACED[1:], PLACED, 25)
+    assert detector.find_dead(heartbeats, PLACED, 26) == set()
+    assert detector.find_dead(heartbeats, PLACED, 27.5) == {"h0"}
 
 
-def test_hosts_lost_within_a_moment_are_lost_together() -> None:
-    watch = HostFailureDetector(dead_after_s=10)
-    watch.update_listed(PLACED[1:], PLACED, 0)
-    watch.update_listed(PLACED[2:], PLACED, 1.5)
-    assert watch.find_dead(HeartbeatTimes({}), PLACED, 9.9) == set()
-    assert watch.find_dead(HeartbeatTimes({}), PLACED, 10) == {"h0", "h1"}
+def test_hosts_that_fail_together_are_reported_together() -> None:
+    detector = HostFailureDetector(dead_after_s=10)
+    detector.update_listed(PLACED[1:], PLACED, 0)
+    detector.update_listed(PLACED[2:], PLACED, 1.5)
+    assert detector.find_dead(HeartbeatTimes({}), PLACED, 9.9) == set()
+    assert detector.find_dead(HeartbeatTimes({}), PLACED, 10) == {"h0", "h1"}
 
 
-def test_who_hears_nobody_takes_itself_for_cut_off() -> None:
-    watch = HostFailureDetector(dead_after_s=10)
-    watch.update_listed(PLACED[3:], PLACED, 0)
-    heard = HeartbeatTimes(dict.fromkeys(PLACED, 0.0))
-    assert watch.find_dead(heard, PLACED, 30) == set()
+def test_no_host_is_dead_if_all_heartbeats_are_missing() -> None:
+    detector = HostFailureDetector(dead_after_s=10)
+    detector.update_listed(PLACED[3:], PLACED, 0)
+    heartbeats = HeartbeatTimes(dict.fromkeys(PLACED, 0.0))
+    assert detector.find_dead(heartbeats, PLACED, 30) == set()
 
 
-def test_an_empty_list_is_not_believed() -> None:
-    watch = HostFailureDetector(dead_after_s=10)
-    watch.update_listed([], PLACED, 0)
-    assert watch.find_dead(HeartbeatTimes({}), PLACED, 100) == set()
-    assert watch.missing == frozenset()
+def test_an_empty_list_is_ignored() -> None:
+    detector = HostFailureDetector(dead_after_s=10)
+    detector.update_listed([], PLACED, 0)
+    assert detector.find_dead(HeartbeatTimes({}), PLACED, 100) == set()
+    assert detector.missing == frozenset()
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -1,4 +1,4 @@
-"""Who spreads to whom, worked out by each host alone."""
+"""The topology that each host derives alone, and the order of its uploads."""
 
 from collections import Counter
 
@@ -17,13 +17,13 @@
 
 
 def derive_all(hosts: list[ReleaseHost], per_place: bool = False) -> dict[HostId, Topology]:
-    plan = TopologyRules(local=8, remote=2, columns=COLUMNS, ranks=3, per_place=per_place)
-    return {each.host: plan.derive(each, hosts, DIGEST) for each in hosts}
+    rules = TopologyRules(local=8, remote=2, columns=COLUMNS, ranks=3, per_place=per_place)
+    return {each.host: rules.derive(each, hosts, DIGEST) for each in hosts}
 
 
 @pytest.mark.parametrize("count", [1, 2, 8, 64])
 @pytest.mark.parametrize("places", [1, 3])
-def test_one_host_goes_first_to_the_origin_for_each_column(count: int, places: int) -> None:
+def test_one_host_has_rank_zero_at_the_origin_for_each_column(count: int, places: int) -> None:
     topologies = derive_all(make_hosts(count, places))
     for column in range(COLUMNS):
         ranks = Counter(each.columns[column].at_origin for each in topologies.values())
@@ -31,7 +31,7 @@
         assert all(ranks[rank] == 1 for rank in range(min(3, count)))
 
 
-def test_for_time_one_host_of_each_place_goes_first() -> None:
+def test_per_place_one_host_of_each_place_has_rank_zero() -> None:
     hosts = make_hosts(30, 3)
     topologies = derive_all(hosts, per_place=True)
     for column in range(COLUMNS):
@@ -40,18 +40,18 @@
         assert len(firsts) == 3
 
 
-def test_links_are_few_and_nearly_all_wanted_by_both_sides() -> None:
+def test_neighbours_are_few_and_nearly_all_mutual() -> None:
     hosts = make_hosts(96, 3)
     topologies = derive_all(hosts)
     for host in hosts:
-        wanted = topologies[host.host].neighbours
-        assert 6 <= len(wanted) <= 8 + COLUMNS * (2 + 2)
+        neighbours = topologies[host.host].neighbours
+        assert 6 <= len(neighbours) <= 8 + COLUMNS * (2 + 2)
         if not any(rank.in_place is not None for rank in topologies[host.host].columns):
-            mutual = [each for each in wanted if host.host in topologies[each].neighbours]
+            mutual = [each for each in neighbours if host.host in topologies[each].neighbours]
             assert len(mutual) >= 6
 
 
-def test_a_lost_host_moves_few_of_the_others_gateways() -> None:
+def test_losing_a_host_changes_few_gateways_of_the_others() -> None:
     hosts = make_hosts(60, 3)
     before = derive_all(hosts)
     lost = next(h for h in hosts if before[h.host].columns[0].at_origin == 0)
@@ -65,22 +65,22 @@
     assert 1 <= moved <= COLUMNS
 
 
-def test_first_copies_go_before_second_ones_and_the_neediest_before_others() -> None:
+def test_first_copies_precede_second_ones_and_hosts_with_fewest_chunks_precede_others() -> None:
     queue = UploadQueue(per_host=2)
-    poor, rich, far = HostId("poor"), HostId("rich"), HostId("far")
-    held = {poor: 1, rich: 9, far: 20}
+    few, many, far = HostId("few"), HostId("many"), HostId("far")
+    held = {few: 1, many: 9, far: 20}
 
     def ask(host: HostId, index: int) -> UploadRequest:
         request = UploadRequest(host, DIGEST, index, remote=host == far)
         assert queue.add(request)
         return request
 
-    first = ask(rich, 1)
+    first = ask(many, 1)
     assert queue.take(lambda host, _: held[host]) == first
-    again, fresh = ask(poor, 1), ask(rich, 2)
-    elsewhere, needy = ask(far, 3), ask(poor, 4)
+    again, fresh = ask(few, 1), ask(many, 2)
+    elsewhere, fewest = ask(far, 3), ask(few, 4)
     taken = [queue.take(lambda host, _: held[host]) for _ in range(4)]
-    assert taken == [elsewhere, needy, fresh, again]
+    assert taken == [elsewhere, fewest, fresh, again]
     assert queue.take(lambda host, _: held[host]) is None
 
 
--- a/tests/test_waves.py
+++ b/tests/test_waves.py
@@ -1,4 +1,4 @@
-"""Waves in which the hosts of a service change over to its next release."""
+"""Waves in which the hosts of a service switch to its next release."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -26,7 +26,7 @@
     ] == [4, 7, 0, 2]
 
 
-def test_nobody_is_ready():
+def test_no_wave_without_ready_hosts():
     assert choose_wave("writer", fleet(WAITING, WAITING), 50, 9.0) == ()
 
 
@@ -39,29 +39,29 @@
     assert len(choose_wave("writer", fleet(*[DONE] * 4, *[READY] * 4), 50, 0.0)) == 4
 
 
-def test_a_host_that_fails_after_changing_over_holds_the_rest_up():
+def test_a_host_that_fails_after_its_switch_blocks_the_rest():
     assert choose_wave("writer", fleet(CHANGING, DONE, READY), 66, 9.0) == ()
 
 
-def test_hosts_that_serve_nothing_cost_nothing():
+def test_hosts_that_serve_nothing_switch_at_once():
     assert choose_wave("writer", fleet(READY_IDLE, CHANGING, READY), 50, 9.0) == ("host-0",)
 
 
-def test_a_single_replica_changes_over():
+def test_a_single_replica_switches():
     assert choose_wave("writer", fleet(READY), 50, 0.0) == ("host-0",)
 
 
-def test_a_release_that_no_host_has_yet_is_left_by_all_at_once():
+def test_all_hosts_leave_a_release_at_once_that_none_has():
     assert len(choose_wave("writer", fleet(*[EMPTY] * 8), 50, 0.0)) == 8
 
 
-def test_one_host_that_serves_or_is_not_heard_of_keeps_the_others_to_their_release():
-    unheard = HostProgress(is_changing_over=True, is_ready=False, is_serving=False)
-    for other in (WAITING, unheard, DONE):
+def test_a_serving_or_silent_host_keeps_the_others_at_their_release():
+    silent = HostProgress(is_changing_over=True, is_ready=False, is_serving=False)
+    for other in (WAITING, silent, DONE):
         assert choose_wave("writer", fleet(*[EMPTY] * 7, other), 50, 9.0) == ()
 
 
-def test_few_ready_hosts_wait_for_others_a_little():
+def test_a_few_ready_hosts_wait_briefly_for_more():
     kinds = [READY] + [WAITING] * 31
     assert choose_wave("writer", fleet(*kinds), 50, 0.0) == ()
     assert choose_wave("writer", fleet(*kinds), 50, 1.0) == ("host-0",)
@@ -71,12 +71,12 @@
 
 
 @given(st.lists(kinds_of_host, max_size=40), st.integers(0, 100), st.floats(0, 10))
-def test_the_floor_holds_whatever_the_hosts_do(kinds, floor_percent, waited_s):
+def test_the_floor_holds_in_any_state_of_the_hosts(kinds, floor_percent, waited_s):
     progress = fleet(*kinds)
     wave = choose_wave("writer", progress, floor_percent, waited_s)
-    is_serving = sum(1 for each in progress.values() if each.is_serving)
+    serving = sum(1 for each in progress.values() if each.is_serving)
     taken = sum(1 for host in wave if progress[host].is_serving)
-    none_has_begun = bool(kinds) and all(kind is EMPTY for kind in kinds)
+    none_has_started = bool(kinds) and all(kind is EMPTY for kind in kinds)
     assert all(progress[host].is_changing_over for host in wave)
-    assert none_has_begun or all(progress[host].is_ready for host in wave)
-    assert taken == 0 or is_serving - taken >= min_serving_hosts(len(progress), floor_percent)
+    assert none_has_started or all(progress[host].is_ready for host in wave)
+    assert taken == 0 or serving - taken >= min_serving_hosts(len(progress), floor_percent)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -1,4 +1,4 @@
-"""Weights make room for live requests on a link that both use."""
+"""The bandwidth limit for weights on a link shared with live requests."""
 
 import asyncio
 import random
@@ -20,40 +20,40 @@
 SLICE_BYTES = 4000
 
 
-def test_live_bytes_are_left_out_of_what_weights_may_take() -> None:
-    policy = WeightBandwidthLimiter(RULES, 0.0)
-    assert policy.allowed_bytes_per_s(0.1) == pytest.approx(0.7 * LINK)
-    policy.record_live_bytes(300_000)
-    assert policy.allowed_bytes_per_s(0.6) == pytest.approx(LINK - 1.1 * 500_000, rel=0.01)
+def test_live_bytes_reduce_the_limit() -> None:
+    limiter = WeightBandwidthLimiter(RULES, 0.0)
+    assert limiter.allowed_bytes_per_s(0.1) == pytest.approx(0.7 * LINK)
+    limiter.record_live_bytes(300_000)
+    assert limiter.allowed_bytes_per_s(0.6) == pytest.approx(LINK - 1.1 * 500_000, rel=0.01)
 
 
-def test_latency_cuts_the_rate_to_the_floor_and_lets_it_rise_again() -> None:
-    policy = WeightBandwidthLimiter(RULES, 0.0)
+def test_high_latency_lowers_the_limit_to_the_floor_until_it_recovers() -> None:
+    limiter = WeightBandwidthLimiter(RULES, 0.0)
     for number in range(20):
-        policy.record_latency(0.010, float(number) / 10)
+        limiter.record_latency(0.010, float(number) / 10)
     now = 10.0
     for _ in range(200):
         now += 0.1
-        policy.allowed_bytes_per_s(now)
-        policy.record_latency(0.050, now)
-    assert policy.allowed_bytes_per_s(now) == pytest.approx(RULES.floor * LINK)
+        limiter.allowed_bytes_per_s(now)
+        limiter.record_latency(0.050, now)
+    assert limiter.allowed_bytes_per_s(now) == pytest.approx(RULES.floor * LINK)
     for _ in range(200):
         now += 0.1
-        policy.allowed_bytes_per_s(now)
-        policy.record_latency(0.010, now)
-    assert policy.allowed_bytes_per_s(now) == pytest.approx(0.7 * LINK)
+        limiter.allowed_bytes_per_s(now)
+        limiter.record_latency(0.010, now)
+    assert limiter.allowed_bytes_per_s(now) == pytest.approx(0.7 * LINK)
 
 
-def test_without_a_latency_to_compare_with_only_the_share_binds() -> None:
-    policy = WeightBandwidthLimiter(RULES, 0.0)
+def test_only_the_share_applies_without_a_baseline_latency() -> None:
+    limiter = WeightBandwidthLimiter(RULES, 0.0)
     for number in range(100):
-        policy.allowed_bytes_per_s(number / 10)
-        policy.record_latency(5.0, number / 10)
-    assert policy.allowed_bytes_per_s(10.0) == pytest.approx(0.7 * LINK)
+        limiter.allowed_bytes_per_s(number / 10)
+        limiter.record_latency(5.0, number / 10)
+    assert limiter.allowed_bytes_per_s(10.0) == pytest.approx(0.7 * LINK)
 
 
 class SharedLink:
-    """Live requests and weights on one link; the weights pass the agent's own pacer first."""
+    """Live requests and weights on one link; weights pass the agent's pacer first."""
 
     def __init__(self, share: float, live_share: float, seed: int) -> None:
         self.gauge = LiveTrafficMeter(LINK, share)
@@ -64,7 +64,7 @@
         self.sent = 0
 
     async def send_live(self, seconds: float) -> list[float]:
-        """Send requests for a while; return how long each took."""
+        """Send requests for `seconds`; return the latency of each in seconds."""
         loop = asyncio.get_running_loop()
         end, tasks = loop.time() + seconds, []
         while loop.time() < end:
@@ -76,13 +76,13 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         await self.link.send(LIVE_BYTES)
-        taken = loop.time() - begun
-        self.gauge.note_latency(taken)
+        took_s = loop.time() - begun
+        self.gauge.note_latency(took_s)
         self.gauge.note_bytes(LIVE_BYTES)
-        return taken
+        return took_s
 
     async def send_weights(self) -> None:
-        """Send weights without end."""
+        """Send weights until cancelled."""
         pacer = Pacer(self.gauge.weights_rate)
         while True:
             await pacer.send(SLICE_BYTES)
@@ -95,26 +95,26 @@
 
 
 async def measure_ratio(share: float, live_share: float) -> tuple[float, float]:
-    """Return live p95 with weights over that without, and the share of the link weights got."""
+    """Return the ratio of live p95 latency with weights to that without, and the weights' share."""
     shared = SharedLink(share, live_share, seed=1)
     alone = p95(await shared.send_live(WARM_S))
     weights = asyncio.get_running_loop().create_task(shared.send_weights())
-    beside = p95(await shared.send_live(RUN_S))
+    concurrent = p95(await shared.send_live(RUN_S))
     weights.cancel()
     with suppress(asyncio.CancelledError):
         await weights
-    return beside / alone, shared.sent / (RUN_S * LINK)
+    return concurrent / alone, shared.sent / (RUN_S * LINK)
 
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("live_share", [0.1, 0.4])
-async def test_live_latency_holds_and_weights_go_on(live_share: float) -> None:
+async def test_live_latency_stays_low_and_weights_keep_the_floor(live_share: float) -> None:
     ratio, got = await measure_ratio(0.7, live_share)
     assert ratio <= 1.5
     assert got >= RULES.floor * 0.9
 
 
-def test_more_requests_are_left_more_of_the_link():
+def test_more_requests_reserve_a_larger_share_of_the_link():
     assert [live_traffic_share(running) for running in (0, 4, 16)] == [
         0.0,
         pytest.approx(0.114),
