--- a/src/lacewinggw/decisions/linkpacing.py
+++ b/src/lacewinggw/decisions/linkpacing.py
@@ -12,9 +12,8 @@
 LATE_FACTOR = 3.0  # a busy sender may delay a chunk; beyond this the link or the source is slow
 SLOW_FACTOR = 1.8  # a chunk usually shares the link with all others in flight
 SMOOTHING_WEIGHT = 0.2  # of a new sample in the moving average of its source
-PROBE_LIMIT = (
-    2  # in flight while only one source is pending; the second shows which of the two is slow
-)
+# In flight while only one source is pending; the second shows which of the two is slow.
+PROBE_LIMIT = 2
 
 
 @dataclass(frozen=True)
--- a/src/lacewinggw/decisions/placement.py
+++ b/src/lacewinggw/decisions/placement.py
@@ -1,10 +1,9 @@
 """Plan which hosts serve which release of which service.
 
 Pure: computes, from the declarations, the present placement and the list of hosts, the fewest
-changes that give each service its declared replicas. A host that serves a declared release is
-never moved, not even to balance a service over places; new hosts come from the places that have
-the fewest. A host that serves another release of its service keeps serving it until its wave
-switches.
+changes that give each service its declared replicas. A host whose assignment is still needed is
+never moved, not even to balance a service over places; new hosts come from the places that have the
+fewest. A host that serves another release of its service keeps serving it until its wave comes.
 """
 
 from collections import Counter
@@ -83,7 +82,7 @@
     present = state.final_releases_of(service)
     if any(_is_unusable(state, hosts, dead_hosts, host) for host in present):
         return False
-    return Counter(present.values()) == Counter(_wanted_replicas(declared))
+    return Counter(present.values()) == Counter(_declared_replicas(declared))
 
 
 class _Draft:
@@ -99,14 +98,14 @@
         self._service = service
         self._hosts = hosts
         self._dead_hosts = dead_hosts
-        self._wanted = _wanted_replicas(service)
+        self._declared = _declared_replicas(service)
         self._current = state.hosts_of(service.name)
         self._present = state.final_releases_of(service.name)
         self._unusable = {
             host for host in self._present if _is_unusable(state, hosts, dead_hosts, host)
         }
         staying = {host: r for host, r in self._present.items() if host not in self._unusable}
-        self._assigned = _choose_kept(service.name, staying, self._wanted, hosts)
+        self._assigned = _choose_kept(service.name, staying, self._declared, hosts)
         self._spare = {host for host in staying if host not in self._assigned}
 
     def reuse_own_hosts(self) -> None:
@@ -121,14 +120,14 @@
         """Assign unused hosts to missing replicas, and remove these hosts from `free`."""
         target = self._service.name if self._service.kind == ServiceKind.PLAIN else ""
         self._fill(free.get(target, set()))
-        for release in self._wanted:
+        for release in self._declared:
             dead = _dead_hosts_of(self._present, self._dead_hosts, release)
             self._assigned.update(dict.fromkeys(dead[: self._missing(release)], release))
 
     def shortfalls(self) -> list[Shortfall]:
         """Return the replicas that have no live host."""
         found = []
-        for release, replicas in self._wanted.items():
+        for release, replicas in self._declared.items():
             live = [
                 h for h, r in self._assigned.items() if r == release and h not in self._dead_hosts
             ]
@@ -160,11 +159,11 @@
         return Assignment(host, self._service.name, current, "" if current == release else release)
 
     def _missing(self, release: str) -> int:
-        return self._wanted[release] - sum(1 for r in self._assigned.values() if r == release)
+        return self._declared[release] - sum(1 for r in self._assigned.values() if r == release)
 
     def _fill(self, pool: set[str]) -> None:
         """Assign hosts of a pool to missing replicas, each from the place that has the fewest."""
-        missing = {release: self._missing(release) for release in self._wanted}
+        missing = {release: self._missing(release) for release in self._declared}
         if not pool or not any(count > 0 for count in missing.values()):
             return
         queues = _queues_by_place(self._service.name, pool, self._hosts)
@@ -182,7 +181,7 @@
                 of_release[place] += 1
 
 
-def _wanted_replicas(service: Service) -> dict[str, int]:
+def _declared_replicas(service: Service) -> dict[str, int]:
     if service.kind == ServiceKind.PLAIN:
         return {"": sum(goal.replicas for goal in service.goals)}
     return {goal.release: goal.replicas for goal in service.goals if goal.replicas > 0}
@@ -193,8 +192,8 @@
 ) -> bool:
     if host in dead_hosts or host in state.draining:
         return True
-    fact = hosts.get(host)
-    return fact is not None and fact.is_leaving
+    info = hosts.get(host)
+    return info is not None and info.is_leaving
 
 
 def _choose_kept(
@@ -223,10 +222,10 @@
 ) -> dict[str, set[str]]:
     """Return the usable hosts that serve nothing, keyed by `HostInfo.service`."""
     free: dict[str, set[str]] = {}
-    for host, fact in hosts.items():
-        usable = not fact.is_leaving and host not in state.draining and host not in dead_hosts
+    for host, info in hosts.items():
+        usable = not info.is_leaving and host not in state.draining and host not in dead_hosts
         if usable and host not in occupied:
-            free.setdefault(fact.service, set()).add(host)
+            free.setdefault(info.service, set()).add(host)
     return free
 
 
@@ -258,10 +257,10 @@
 def _dead_hosts_of(
     present: Mapping[str, str], dead_hosts: Collection[str], release: str
 ) -> list[str]:
-    """Return the dead hosts of a release, which may come back if nothing replaces them."""
+    """Return the dead hosts of a release; without a replacement they stay placed, to recover."""
     return sorted(host for host, each in present.items() if each == release and host in dead_hosts)
 
 
 def _place_of(hosts: Mapping[str, HostInfo], host: str) -> str:
-    fact = hosts.get(host)
-    return fact.place if fact is not None else ""
+    info = hosts.get(host)
+    return info.place if info is not None else ""
--- a/src/lacewinggw/decisions/routereaders.py
+++ b/src/lacewinggw/decisions/routereaders.py
@@ -31,9 +31,8 @@
 FETCH_STAGGER_S = 0.5
 # For many entries that start at once: a full copy from the store and its distribution in the place.
 START_STAGGER_S = 0.3
-LIST_WAIT_S = (
-    0.2  # for the list of entries, a few KB, from which a starting entry computes its rank
-)
+# For the list of entries, a few KB, from which a starting entry computes its rank.
+LIST_WAIT_S = 0.2
 
 
 @dataclass(frozen=True)
--- a/src/lacewinggw/decisions/routingview.py
+++ b/src/lacewinggw/decisions/routingview.py
@@ -15,9 +15,8 @@
 from lacewinggw.decisions.targetlist import DueVersion, TargetEntry, TargetPhase
 from lacewinggw.ids import ModelName, TargetId, TargetName
 
-DEPARTED_RETENTION_S = (
-    60.0  # stale reads of the store are seconds old, updates of a suspended entry little more
-)
+# Stale reads of the store are seconds old, updates of a suspended entry little more.
+DEPARTED_RETENTION_S = 60.0
 
 
 @dataclass(frozen=True)
--- a/src/lacewinggw/decisions/topology.py
+++ b/src/lacewinggw/decisions/topology.py
@@ -5,8 +5,8 @@
 
 The chunks of a release are divided into columns. In each place one host per column is the gateway:
 it imports the column's chunks, from the gateways of other places or from the origin. Within a place
-the hosts are connected by rings in different orders, which together form a well-mixing
-graph in which all hosts have the same number of neighbours.
+the hosts are connected by rings in different orders, which together form a well-mixing graph in
+which all hosts have the same number of neighbours.
 """
 
 from collections import defaultdict
--- a/src/lacewinggw/decisions/upgrades.py
+++ b/src/lacewinggw/decisions/upgrades.py
@@ -5,14 +5,14 @@
 unless the next one arrives before the deadline of the first: a partial copy is of no use, and the
 source of the next version may fail.
 
-A version spends most of its time in transit and arrives at all targets at about the same time. A
-target that drains before it loads is out of service for two seconds. So half of the targets of a
-service load the version on arrival, and the requests that they interrupt continue at the other
-half. That half drains, as new requests go to the first, and loads the version before the deadline.
+A version takes most of its allowed time to arrive, at all targets at about the same time. A target
+that drains before it loads is out of service for two seconds. So half of the targets of a service
+load the version on arrival, and the requests that they interrupt continue at the other half. That
+half drains, as new requests go to the first, and loads the version before the deadline.
 
 If the deadline leaves time after the download, the targets are staggered over all of it. A fleet at
-0.87 of its capacity is at 1.7 times its capacity while half of the targets are out of service, and
-at 1.2 times while a quarter are.
+0.87 of its capacity is at 1.7 times the remaining capacity while half of the targets are out of
+service, and at 1.2 times while a quarter are.
 """
 
 import math
@@ -24,21 +24,18 @@
 from lacewinggw.ids import HostId
 
 FIRST_VERSION = 1  # of a model's weights, if no other has been named
-EARLY_SHARE = (
-    0.5  # of a service; the other targets must have capacity for the requests that these interrupt
-)
-# The share of the time between download and deadline for the early half. Its targets are out of
+# Of the targets of a service; the others must have capacity for the requests that these interrupt.
+EARLY_SHARE = 0.5
+# Of the time between download and deadline, the share for the early half. Its targets are out of
 # service for 0.4 s each and the others for 1.4 s, so about as many are out at any time.
 EARLY_WINDOW_SHARE = 0.22
 # If less time remains between the download and the last upgrades, the early half loads at once.
 MIN_STAGGER_WINDOW_S = 1.5
 DRAIN_S = 1.0  # most running requests end within it, and all of typical length
-DEADLINE_MARGIN_S = (
-    0.6  # an order given this long before the deadline still prevents any late start
-)
-DOWNLOAD_MARGIN_S = (
-    1.0  # added to the estimated rest of a download before relying on its completion
-)
+# An order given this long before the deadline still prevents any late start.
+DEADLINE_MARGIN_S = 0.6
+# Added to the estimated rest of a download before relying on its completion.
+DOWNLOAD_MARGIN_S = 1.0
 NEARLY_COMPLETE_SHARE = 0.9  # of a version; the link then has capacity for the next one
 # The time that a version must serve before the deadline of the next one to be worth loading: the
 # load costs 0.4 s, and requests start on it until up to 0.9 s before that deadline.
--- a/src/lacewinggw/decisions/weightbandwidth.py
+++ b/src/lacewinggw/decisions/weightbandwidth.py
@@ -9,12 +9,10 @@
 from dataclasses import dataclass
 
 WINDOW_S = 0.5
-WEIGHTS_ACTIVE_S = (
-    1.0  # transfers count as active for this long after the last call of `allowed_bytes_per_s`
-)
-LATENCY_EXPIRY_S = (
-    5.0  # latencies during transfers are discarded after this long without live requests
-)
+# Transfers count as active for this long after the last call of `allowed_bytes_per_s`.
+WEIGHTS_ACTIVE_S = 1.0
+# Latencies during transfers are discarded after this long without live requests.
+LATENCY_EXPIRY_S = 5.0
 # The share of the link used while a target runs requests, from the traffic of a dozen on 3.8 Mbit/s
 # (fleet.md): 0.6 percent per request for its events, headers and connections; 6 percent for
 # acknowledgements and announcements of chunks; and 3 percent to keep the queue short.
