--- a/src/lacewinggw/decisions/hostfailures.py
+++ b/src/lacewinggw/decisions/hostfailures.py
@@ -10,7 +10,7 @@
 
 MIN_MISSING_S = 2.0
 GROUPING_WINDOW_S = 2.0
-UNRESPONSIVE_FACTOR = 6
+UNRESPONSIVE_FACTOR = 6  # times `dead_after_s`: the silence after which a listed host is dead
 
 
 @dataclass(frozen=True)
--- a/src/lacewinggw/decisions/routingview.py
+++ b/src/lacewinggw/decisions/routingview.py
@@ -82,12 +82,10 @@
         self._targets: dict[TargetId, TargetEntry] = {}
         self._lapsing: dict[TargetId, float] = {}
         self._leaving: set[TargetId] = set()
-        self._unlisted_since: dict[TargetId, float] = (
-            {}
-        )  # of remembered incarnations that are not listed
-        self._incarnations: dict[TargetName, TargetEntry] = (
-            {}
-        )  # the newest incarnation that was listed
+        # When each remembered incarnation that is not listed was first found so.
+        self._unlisted_since: dict[TargetId, float] = {}
+        # The newest incarnation that was listed, by name.
+        self._incarnations: dict[TargetName, TargetEntry] = {}
         self._routes_confirmed_at = float("-inf")
         self._routes_observed_at = float("-inf")
         self._newer_routes = _RoutesConfirmation()  # of newer routes that peers have
--- a/src/lacewinggw/decisions/upgrades.py
+++ b/src/lacewinggw/decisions/upgrades.py
@@ -120,8 +120,8 @@
             return UpgradeStep(fetch)
         if now < self._start_at(pending[0]):
             return UpgradeStep(fetch)
-        order_by = self._deadline(pending[0]) - DEADLINE_MARGIN_S
-        return UpgradeStep(fetch, first.version, self._is_early, order_by)
+        load_by = self._deadline(pending[0]) - DEADLINE_MARGIN_S
+        return UpgradeStep(fetch, first.version, self._is_early, load_by)
 
     def _for_first(self, current: int | None, progress: VersionProgress) -> UpgradeStep:
         if current is not None:
@@ -153,8 +153,10 @@
         if self._ready_at(newest, progress, now) + DOWNLOAD_MARGIN_S <= self._deadline(oldest):
             return [newest]
         pairs = zip(pending, pending[1:], strict=False)
-        worth_it = [each for each, next_ in pairs if self._serves_long(each, next_, progress, now)]
-        return [*worth_it, newest]
+        worthwhile = [
+            each for each, next_ in pairs if self._serves_long(each, next_, progress, now)
+        ]
+        return [*worthwhile, newest]
 
     def _serves_long(
         self, due: RequiredVersion, next_: RequiredVersion, progress: VersionProgress, now: float
@@ -188,9 +190,9 @@
     chosen: Sequence[RequiredVersion], progress: VersionProgress
 ) -> tuple[int, ...]:
     """Return the versions to fetch now; each one waits until those before are nearly complete."""
-    opened: list[int] = []
+    to_fetch: list[int] = []
     for each in chosen:
-        opened.append(each.version)
+        to_fetch.append(each.version)
         if progress.share(each.version) < NEARLY_COMPLETE_SHARE:
             break
-    return tuple(opened)
+    return tuple(to_fetch)
--- a/src/lacewinggw/decisions/waves.py
+++ b/src/lacewinggw/decisions/waves.py
@@ -1,8 +1,8 @@
 """Choose the hosts of a service that switch to its next release now.
 
-Hosts load the next release in addition to the one they serve, and switch in waves. Each wave
-is one log entry, so that two entries cannot together take more capacity from a service than its
-floor allows. The state of a host is taken from its recent heartbeats; a host without one counts as
+Hosts load the next release in addition to the one they serve, and switch in waves. Each wave is one
+log entry, so that two entries cannot together take more capacity from a service than its floor
+allows. The state of a host is taken from its recent heartbeats; a host without one counts as
 serving nothing.
 """
 
@@ -88,10 +88,10 @@
     """Return the hosts that switch now, in the order of their rendezvous rank.
 
     `waited_s` is how long a host has been ready and waiting. A host that is ready but serves
-    nothing switches at once, as that costs no capacity. If a release is replaced before any
-    host has it, all hosts switch at once instead of fetching a release that is not needed.
+    nothing switches at once, as that costs no capacity. If a release is replaced before any host
+    has it, all hosts switch at once instead of fetching a release that is not needed.
     """
-    if _none_has_begun(progress):
+    if _none_has_started(progress):
         return tuple(_limit_serving(list(progress), progress, 0, service))
     ready = [host for host, each in progress.items() if each.is_changing_over and each.is_ready]
     if not ready:
@@ -99,14 +99,14 @@
     serving = sum(1 for each in progress.values() if each.is_serving)
     spare = serving - min_serving_hosts(len(progress), floor_percent)
     wave = list(_limit_serving(ready, progress, spare, service))
-    turning = sum(1 for each in progress.values() if each.is_changing_over)
-    enough = min(ceil(len(progress) / MIN_WAVE_DIVISOR), turning, max(spare, 1))
+    changing = sum(1 for each in progress.values() if each.is_changing_over)
+    enough = min(ceil(len(progress) / MIN_WAVE_DIVISOR), changing, max(spare, 1))
     if len(wave) < enough and waited_s < WAVE_WAIT_S:
         return ()
     return tuple(wave)
 
 
-def _none_has_begun(progress: ProgressByHost) -> bool:
+def _none_has_started(progress: ProgressByHost) -> bool:
     return bool(progress) and all(
         each.is_changing_over and each.is_empty for each in progress.values()
     )
