--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -47,7 +47,7 @@
 
 
 class Node:
-    """One process of the fleet, entry or agent, with the revisions it went through."""
+    """One process of the fleet, entry or agent, with the revisions that it applied."""
 
     def __init__(self, fleet: "Fleet", number: int, role: Role, incarnation: int = 0) -> None:
         kind = "entry" if role is Role.ENTRY else "host"
@@ -141,7 +141,7 @@
 
 
 class Gate:
-    """Hold back one process's writes, as if it were paused just before each."""
+    """Delays one process's writes until opened, as if it were paused just before each."""
 
     def __init__(self, table: TableClient) -> None:
         self.open = asyncio.Event()
@@ -154,7 +154,7 @@
 
 
 class Fleet:
-    """Stand-ins of the platform, and processes that share a list of hosts."""
+    """Stand-ins for the platform, and processes that share a list of hosts."""
 
     def __init__(self, seed: int = 1, **settings: int) -> None:
         self.seed = seed
@@ -204,13 +204,15 @@
         return [*self.entries, *self.agents]
 
     async def settle(self, revision: int, limit_s: float = 30.0) -> float:
-        """Wait until every process has a revision; return how long it took."""
+        """Wait until every process has a revision; return the elapsed time in seconds."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         while any(node.config.revision < revision for node in self.nodes()):  # noqa: ASYNC110
-            assert loop.time() - began < limit_s, [node.config.revision for node in self.nodes()]
+            assert loop.time() - started_at < limit_s, [
+                node.config.revision for node in self.nodes()
+            ]
             await asyncio.sleep(0.01)
-        return loop.time() - began
+        return loop.time() - started_at
 
 
 @asynccontextmanager
--- a/tests/request_fleet.py
+++ b/tests/request_fleet.py
@@ -1,4 +1,4 @@
-"""An in-memory fleet of entries, agents and targets for requests, under virtual time."""
+"""An in-memory fleet of entries, agents and targets that serve requests, in virtual time."""
 
 import asyncio
 import hashlib
@@ -51,7 +51,7 @@
 
 
 class Targets:
-    """A directory that knows every agent at once; it takes them in order, or by the fleet's rng."""
+    """A directory that sees all agents at once, and chooses in order or by the fleet's rng."""
 
     def __init__(self, fleet: "RequestFleet") -> None:
         self.fleet = fleet
@@ -112,7 +112,7 @@
 
 
 class Agent:
-    """One agent with its target; `replace` puts a fresh one at the same address."""
+    """One agent with its target; `replace` restarts the agent at the same address."""
 
     def __init__(self, fleet: "RequestFleet", number: int, kind: TargetKind) -> None:
         self.fleet = fleet
@@ -162,7 +162,7 @@
         await self.node.start(self.address)
 
     async def stop(self) -> None:
-        """End the process at once, as by a kill; the target goes on."""
+        """End the process at once, as a kill does; the target keeps running."""
         await self.node.close()
         await self.requests.close()
 
@@ -175,7 +175,7 @@
 
 
 class Entry:
-    """One entry; callers use `ask` and `stream`."""
+    """One entry, with `ask` and `stream` for its callers."""
 
     def __init__(self, fleet: "RequestFleet", number: int, generation: int = 0) -> None:
         self.fleet = fleet
@@ -222,7 +222,7 @@
         await self.objects.close()
 
     async def lose(self) -> None:
-        """End the process at once, as by a kill."""
+        """End the process at once, as a kill does."""
         self.fleet.network.lose(self.ip)
         await self.stop()
 
@@ -305,7 +305,7 @@
 async def request_fleet(
     entries: int = 2, engines: int = 2, plains: int = 0, **agent: Any
 ) -> AsyncIterator[RequestFleet]:
-    """Start a fleet, and leave nothing pending."""
+    """Start a fleet, and close all of it at the end."""
     fleet = RequestFleet(entries, engines, plains, **agent)
     await fleet.platform.start()
     for each in fleet.agents:
@@ -326,7 +326,7 @@
 
 
 def fleet_test(**sizes):
-    """Run an async test of one fleet on virtual time."""
+    """Run an async test of one fleet in virtual time."""
 
     def decorate(test):
         def run():
--- a/tests/test_callers_page.py
+++ b/tests/test_callers_page.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Example:
-    """A curl command of the page, and what is said to come of it."""
+    """A curl command of the page, and the response that the page shows."""
 
     command: str
     status: int
@@ -41,11 +41,11 @@
     parser.add_argument("-d", default="")
     parser.add_argument("url")
     filled = string.Template(command).substitute(values)
-    asked = parser.parse_args(shlex.split(filled.replace("\\\n", ""))[1:])
-    address, _, path = asked.url.removeprefix("http://").partition("/")
-    headers = dict(header.split(": ", 1) for header in asked.H)
-    method = asked.X or ("POST" if asked.d else "GET")
-    return await client.request(address, method, f"/{path}", headers, asked.d.encode())
+    args = parser.parse_args(shlex.split(filled.replace("\\\n", ""))[1:])
+    address, _, path = args.url.removeprefix("http://").partition("/")
+    headers = dict(header.split(": ", 1) for header in args.H)
+    method = args.X or ("POST" if args.d else "GET")
+    return await client.request(address, method, f"/{path}", headers, args.d.encode())
 
 
 def check(example: Example, response: Response) -> None:
@@ -76,7 +76,7 @@
     return len(examples)
 
 
-def test_every_example_does_what_the_page_says() -> None:
+def test_every_example_matches_its_response() -> None:
     async def body() -> int:
         async with request_fleet(engines=1, plains=1) as fleet:
             return await run_page(fleet)
--- a/tests/test_entry_client.py
+++ b/tests/test_entry_client.py
@@ -1,4 +1,4 @@
-"""An operator's shell that meets silence: a query fails, a command's outcome is unknown."""
+"""The operators' client with entries that do not reply, or that close the connection."""
 
 import asyncio
 import itertools
@@ -15,11 +15,11 @@
 pytestmark = pytest.mark.looptime
 
 TIMEOUT_S = 5.0
-NOBODY = Address("10.0.0.9:1")
+UNUSED_ADDRESS = Address("10.0.0.9:1")
 
 
 class Entries:
-    """Stand-ins of entries on one in-memory network, and a client to ask them."""
+    """Stand-ins for entries on one in-memory network, and a client to call them."""
 
     def __init__(self) -> None:
         self.network = MemoryNetwork()
@@ -31,7 +31,7 @@
         return await self._add(self._answer)
 
     async def add_silent(self) -> Address:
-        """Add an entry that takes requests and never answers."""
+        """Add an entry that accepts requests and never answers."""
         return await self._add(self._never_answer)
 
     async def add_breaking(self) -> Address:
@@ -40,7 +40,7 @@
         return Address(listener.address)
 
     def client(self, *entries: Address, token: str = "token") -> EntryClient:
-        """Return a client that asks the entries in turn."""
+        """Return a client that tries the entries in order."""
         return EntryClient(self.network, entries, token, TIMEOUT_S)
 
     async def _add(self, handler: object) -> Address:
@@ -67,14 +67,14 @@
         stream.close()
 
 
-async def test_query_goes_on_to_the_next_entry() -> None:
+async def test_query_fails_over_to_the_next_entry() -> None:
     entries = Entries()
     silent, breaking = await entries.add_silent(), await entries.add_breaking()
-    client = entries.client(NOBODY, silent, breaking, await entries.add_answering())
+    client = entries.client(UNUSED_ADDRESS, silent, breaking, await entries.add_answering())
     assert await client.query("show services") == {"rows": []}
 
 
-async def test_silence_to_a_query_is_a_timeout() -> None:
+async def test_unanswered_query_times_out() -> None:
     entries = Entries()
     client = entries.client(await entries.add_silent())
     with pytest.raises(TimedOut, match="within 5 s"):
@@ -82,22 +82,22 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "breaking"])
-async def test_silence_to_a_command_leaves_it_unknown(kind: str) -> None:
+async def test_unanswered_command_may_have_been_accepted(kind: str) -> None:
     entries = Entries()
-    doubtful = await getattr(entries, f"add_{kind}")()
-    client = entries.client(doubtful, NOBODY)
+    unreliable = await getattr(entries, f"add_{kind}")()
+    client = entries.client(unreliable, UNUSED_ADDRESS)
     with pytest.raises(AcceptanceUnknown, match="command c-1 may have been accepted") as raised:
         await client.command("drain host h-1", "c-1", 4)
     assert "show command c-1" in raised.value.remedy
 
 
-async def test_command_that_reached_nobody_is_not_accepted() -> None:
-    client = Entries().client(NOBODY)
+async def test_command_that_reached_no_entry_is_not_accepted() -> None:
+    client = Entries().client(UNUSED_ADDRESS)
     with pytest.raises(Unreachable):
         await client.command("drain host h-1", "c-1", 4)
 
 
-async def test_no_token_sends_no_empty_one() -> None:
+async def test_client_without_a_token_sends_no_authorization() -> None:
     entries = Entries()
     client = entries.client(await entries.add_answering(), token="")
     with pytest.raises(BadToken):
--- a/tests/test_fleet_under_faults.py
+++ b/tests/test_fleet_under_faults.py
@@ -1,4 +1,4 @@
-"""A whole fleet in memory under drawn faults, and single faults that were found that way."""
+"""A whole fleet in memory under random faults, and regressions for faults found that way."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_every_property_holds_under_all_faults_and_the_fleet_gets_well(seed: int) -> None:
+def test_all_properties_hold_under_all_faults_and_the_fleet_recovers(seed: int) -> None:
     configure_log(LogFormat.TEXT, "error")
     plan = TrialPlan(callers=3, pause_s=0.15, seed=seed)
     trial = make_trial(MemoryPlan(seed=seed, overrides=OVERRIDES), plan)
@@ -41,7 +41,7 @@
     assert draw(1) != draw(2)
 
 
-def test_agent_that_a_lagging_list_calls_leaving_serves_once_it_is_listed_anew() -> None:
+def test_agent_listed_as_leaving_by_a_lagging_list_serves_once_listed_again() -> None:
     async def story(trial: Trial) -> None:
         await trial.fleet.disturb("membership", lag_s=5.0)
         await trial.fleet.set_leaving("host-002")
@@ -55,10 +55,10 @@
     assert not verdict.violations, describe(verdict.violations)
 
 
-def test_request_that_comes_at_the_very_end_of_a_drain_is_seen_to_its_end(
+def test_request_that_arrives_at_the_end_of_a_drain_is_finished(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def consider_it_quiet(self: CallerService, limit_s: float) -> bool:
+    async def skip_the_wait(self: CallerService, limit_s: float) -> bool:
         return True
 
     async def story(trial: Trial) -> None:
@@ -66,19 +66,19 @@
         for name in trial.fleet.agents:
             await trial.fleet.slow_target(name, 10.0)
         caller = trial.fleet.requester(9, "saleyard", Mix(MODEL, pieces=(20, 20)))
-        asking = asyncio.create_task(caller.request())
+        pending = asyncio.create_task(caller.request())
         while not trial.fleet.attempts_at_entries():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.2)
         await trial.fleet.terminate(trial.fleet.attempts_at_entries()[-1])
-        await asking
+        await pending
 
-    monkeypatch.setattr(CallerService, "drained", consider_it_quiet)
+    monkeypatch.setattr(CallerService, "drained", skip_the_wait)
     verdict = run_story(story)
     assert not verdict.violations, describe(verdict.violations)
 
 
-def test_entry_that_shuts_down_is_soon_named_to_callers_no_more() -> None:
+def test_entry_that_shuts_down_is_soon_omitted_from_addresses() -> None:
     async def story(trial: Trial) -> None:
         await asyncio.sleep(1.0)
         await trial.fleet.terminate("entry-1")
--- a/tests/test_keyed_requests.py
+++ b/tests/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key, or a ticket: at most once, and the same answer again."""
+"""Requests with an idempotency key or a ticket: one run at most, and the same answer for all."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 @fleet_test()
-async def test_a_key_seen_again_gets_the_same_answer(fleet: RequestFleet) -> None:
+async def test_a_repeated_key_gets_the_same_answer(fleet: RequestFleet) -> None:
     first = await fleet.entries[0].ask(idempotency_key="k")
     early = await fleet.entries[1].ask(idempotency_key="k")
     await asyncio.sleep(1)
@@ -21,7 +21,9 @@
 
 
 @fleet_test()
-async def test_two_entries_with_the_same_key_at_once_run_it_once(fleet: RequestFleet) -> None:
+async def test_concurrent_requests_with_one_key_at_two_entries_run_once(
+    fleet: RequestFleet,
+) -> None:
     one, other = await asyncio.gather(*(entry.ask(idempotency_key="k") for entry in fleet.entries))
     assert one.status == other.status == 200
     assert one.content == other.content
@@ -29,18 +31,18 @@
 
 
 @fleet_test()
-async def test_a_key_used_for_another_content_is_refused(fleet: RequestFleet) -> None:
+async def test_a_key_reused_for_other_content_is_rejected(fleet: RequestFleet) -> None:
     await fleet.entries[0].ask(prompt("one"), idempotency_key="k")
     response = await fleet.entries[1].ask(prompt("two"), idempotency_key="k")
     assert (response.status, response.headers["outcome"]) == (422, "not-run")
 
 
 @fleet_test()
-async def test_a_claim_of_a_dead_agent_is_unknown_for_good(fleet: RequestFleet) -> None:
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotency_key="k"))
+async def test_a_claim_of_a_dead_agent_stays_unknown(fleet: RequestFleet) -> None:
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotency_key="k"))
     await asyncio.sleep(0.1)
     await fleet.agents[0].replace()
-    assert (await asked).headers["outcome"] == "unknown"
+    assert (await pending).headers["outcome"] == "unknown"
     for _ in range(2):
         again = await fleet.entries[1].ask(prompt(pieces=50), idempotency_key="k")
         assert again.headers["outcome"] == "unknown"
@@ -63,7 +65,7 @@
 
 
 @fleet_test()
-async def test_a_lost_reply_to_a_claim_is_read_back(fleet: RequestFleet) -> None:
+async def test_a_claim_is_read_back_after_a_lost_reply(fleet: RequestFleet) -> None:
     fleet.platform.table.faults.lose_next = 1
     response = await fleet.entries[0].ask(idempotency_key="k")
     assert response.status == 200
@@ -71,7 +73,7 @@
 
 
 @fleet_test()
-async def test_a_claim_written_by_a_lost_write_does_not_hold_the_key(fleet: RequestFleet) -> None:
+async def test_a_claim_from_a_lost_write_does_not_block_the_key(fleet: RequestFleet) -> None:
     fleet.platform.table.faults.lose_next = 2
     first = await fleet.entries[0].ask(idempotency_key="k", idempotency_attempt="1")
     assert (first.status, first.headers["outcome"]) == (503, "not-run")
@@ -80,7 +82,7 @@
 
 
 @fleet_test()
-async def test_a_ticket_is_good_once_at_any_entry_without_the_store(fleet: RequestFleet) -> None:
+async def test_a_ticket_runs_once_at_any_entry_without_the_store(fleet: RequestFleet) -> None:
     ticket = await fleet.entries[0].ticket()
     fleet.platform.table.faults.outage = Outage.REFUSE
     one, other = await asyncio.gather(*(entry.ask(ticket=ticket) for entry in fleet.entries))
@@ -90,33 +92,33 @@
 
 
 @fleet_test()
-async def test_a_ticket_lapses_dies_with_its_agent_and_cannot_be_forged(
+async def test_a_ticket_expires_is_lost_with_its_agent_and_cannot_be_forged(
     fleet: RequestFleet,
 ) -> None:
     entry = fleet.entries[0]
-    lapsed, lost = await entry.ticket(), await entry.ticket()
-    forged = await entry.ask(ticket=lapsed[:-1] + "x")
+    expired, lost = await entry.ticket(), await entry.ticket()
+    forged = await entry.ask(ticket=expired[:-1] + "x")
     assert (forged.status, forged.headers["outcome"]) == (400, "not-run")
     await asyncio.sleep(60)
-    assert (await entry.ask(ticket=lapsed)).headers["outcome"] == "not-run"
+    assert (await entry.ask(ticket=expired)).headers["outcome"] == "not-run"
     await fleet.agents[0].replace()
     assert (await entry.ask(ticket=lost)).headers["outcome"] == "unknown"
     assert not fleet.runs()
 
 
 @fleet_test()
-async def test_an_outcome_can_be_asked_of_any_entry(fleet: RequestFleet) -> None:
+async def test_an_outcome_is_available_from_any_entry(fleet: RequestFleet) -> None:
     entry, other = fleet.entries
     request_id = (await entry.ask()).headers["request-id"]
-    for asked in (entry, other):
-        assert (await asked.get(f"/v1/requests/{request_id}")).json()["state"] == "answered"
-        assert (await asked.get("/v1/requests/none")).status == 404
+    for querying in (entry, other):
+        assert (await querying.get(f"/v1/requests/{request_id}")).json()["state"] == "answered"
+        assert (await querying.get("/v1/requests/none")).status == 404
     await entry.stop()
     assert (await other.get(f"/v1/requests/{request_id}")).status == 404
 
 
 @fleet_test()
-async def test_an_answer_is_recorded_once_the_object_store_is_back(fleet: RequestFleet) -> None:
+async def test_an_answer_is_recorded_after_the_object_store_recovers(fleet: RequestFleet) -> None:
     objects, agent = fleet.platform.objects, fleet.agents[0]
     objects.faults.outage = Outage.REFUSE
     first = await fleet.entries[0].ask(idempotency_key="k")
@@ -141,7 +143,7 @@
 
 
 @fleet_test()
-async def test_a_key_that_ran_is_never_called_not_run_when_no_target_is_left(
+async def test_a_key_that_ran_is_never_reported_as_not_run_without_targets(
     fleet: RequestFleet,
 ) -> None:
     first = await fleet.entries[0].ask(idempotency_key="k")
@@ -153,14 +155,14 @@
 
 
 @fleet_test()
-async def test_claims_made_together_share_a_write(fleet: RequestFleet) -> None:
-    asked = [fleet.entries[0].ask(prompt(f"{n}"), idempotency_key=f"{n}") for n in range(8)]
-    assert {each.status for each in await asyncio.gather(*asked)} == {200}
+async def test_concurrent_claims_share_a_write(fleet: RequestFleet) -> None:
+    pending = [fleet.entries[0].ask(prompt(f"{n}"), idempotency_key=f"{n}") for n in range(8)]
+    assert {each.status for each in await asyncio.gather(*pending)} == {200}
     assert fleet.platform.table.writes.total <= 2
 
 
 @fleet_test()
-async def test_recorded_answers_are_dropped_after_their_time(fleet: RequestFleet) -> None:
+async def test_recorded_answers_are_deleted_after_the_keep_time(fleet: RequestFleet) -> None:
     await fleet.entries[0].ask(idempotency_key="k")
     await asyncio.sleep(fleet.settings.requests.answer_keep_ms / 1000 + 60)
     assert not fleet.platform.objects.objects
@@ -168,7 +170,7 @@
 
 
 @fleet_test(engines=1)
-async def test_a_key_that_another_entry_ran_meanwhile_is_not_called_not_run(
+async def test_a_key_run_by_another_entry_in_between_is_not_reported_as_not_run(
     fleet: RequestFleet,
 ) -> None:
     entry, other = fleet.entries
@@ -191,7 +193,7 @@
 
 
 @fleet_test()
-async def test_a_key_seen_again_does_not_wait_for_a_store_that_hangs(fleet: RequestFleet) -> None:
+async def test_a_repeated_key_does_not_wait_for_a_hanging_store(fleet: RequestFleet) -> None:
     fleet.platform.objects.faults.outage = Outage.HANG
     first = await fleet.entries[0].ask(idempotency_key="k")
     began = asyncio.get_running_loop().time()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -29,7 +29,7 @@
         await node.accept(release(f"m{number}"), command=f"fill-{number}")
 
 
-async def test_an_accepted_command_is_in_force_everywhere() -> None:
+async def test_an_accepted_command_is_applied_everywhere() -> None:
     async with running(entries=8, agents=8) as fleet:
         entry = await fleet.entries[0].accept(release("m1"), command="one")
         assert entry.revision == 1
@@ -37,7 +37,7 @@
         assert all("m1" in node.config.state.releases for node in fleet.nodes())
 
 
-async def test_a_repeated_command_is_answered_with_its_revision() -> None:
+async def test_a_repeated_command_returns_its_first_revision() -> None:
     async with running(entries=3) as fleet:
         first = await fleet.entries[0].accept(release("m1"), command="one")
         await fleet.settle(1)
@@ -46,7 +46,7 @@
         assert fleet.entries[1].ledger.revision == 1
 
 
-async def test_a_repeated_command_is_recognised_by_an_entry_that_has_not_heard_of_it() -> None:
+async def test_a_repeated_command_is_recognised_by_an_entry_that_has_not_received_it() -> None:
     async with running(entries=2, poll_ms=60000) as fleet:
         one, other = fleet.entries
         fleet.network.cut(one.ip, other.ip)
@@ -71,7 +71,7 @@
         assert fresh.ledger.revision == 13
 
 
-async def test_a_command_older_than_what_is_remembered_is_refused_not_repeated() -> None:
+async def test_a_command_older_than_the_kept_history_is_refused_not_repeated() -> None:
     state = FleetState()
     for revision in range(1, HISTORY_LENGTH + 10):
         state.apply(LogEntry(revision, f"c{revision}", "a", 0, 0, [release(f"m{revision}")], ""))
@@ -86,7 +86,7 @@
             await entry.accept(release("m1"), command="c1", read=0, repeated=True)
 
 
-async def test_two_operators_in_conflict_one_is_told_both_values() -> None:
+async def test_a_conflict_error_contains_both_values() -> None:
     async with running(entries=2) as fleet:
         await fleet.entries[0].accept(
             release("m1"), release("m2"), service("desk", ("m1", 2)), command="make"
@@ -125,7 +125,7 @@
         assert entry.ledger.revision == 1
 
 
-async def test_a_lost_reply_is_settled_by_the_command_id() -> None:
+async def test_a_lost_reply_is_resolved_by_the_command_id() -> None:
     async with running(entries=2) as fleet:
         fleet.platform.table.faults.lose_next = 1
         entry = await fleet.entries[0].accept(release("m1"), command="one")
@@ -148,7 +148,7 @@
         assert fleet.entries[0].ledger.state.revision_of_command("one") == 1
 
 
-async def test_an_outage_refuses_commands_as_certainly_not_accepted() -> None:
+async def test_commands_during_an_outage_are_certainly_not_accepted() -> None:
     async with running(entries=2) as fleet:
         fleet.platform.table.faults.outage = Outage.REFUSE
         with pytest.raises(PlatformUnavailable):
@@ -158,7 +158,7 @@
         assert fleet.entries[0].ledger.revision == 0
 
 
-async def test_a_writer_paused_past_a_truncation_does_not_bring_its_row_back() -> None:
+async def test_a_writer_paused_past_a_truncation_does_not_restore_its_row() -> None:
     async with running(entries=1, snapshot_every=5) as fleet:
         await fill(fleet, 20)
         await asyncio.sleep(1)
@@ -169,7 +169,7 @@
         assert row_key(3) not in fleet.platform.table.rows
 
 
-async def test_a_reader_behind_a_truncation_takes_the_snapshot_not_a_row_brought_back() -> None:
+async def test_a_reader_behind_a_truncation_loads_the_snapshot_not_a_restored_row() -> None:
     async with running(entries=1, snapshot_every=5) as fleet:
         await fill(fleet, 20)
         await asyncio.sleep(1)
@@ -214,7 +214,7 @@
         assert fresh.ledger.revision == 3
 
 
-async def test_in_an_outage_a_fresh_process_takes_the_highest_of_several_peers() -> None:
+async def test_in_an_outage_a_fresh_process_takes_the_highest_revision_of_several_peers() -> None:
     async with running(entries=4) as fleet:
         await fill(fleet, 2)
         await fleet.settle(2)
@@ -234,16 +234,16 @@
         assert fresh.ledger.revision == 5
 
 
-async def test_news_spreads_while_the_store_is_down() -> None:
+async def test_entries_propagate_between_peers_while_the_store_is_down() -> None:
     async with running(entries=6, agents=6, poll_ms=500) as fleet:
-        late = fleet.entries[5]
+        isolated = fleet.entries[5]
         for other in fleet.entries[:5]:
-            fleet.network.cut(late.ip, other.ip)
-        fleet.network.cut(late.ip, "127.0.0.1")
+            fleet.network.cut(isolated.ip, other.ip)
+        fleet.network.cut(isolated.ip, "127.0.0.1")
         await fill(fleet, 4)
         fleet.platform.table.faults.outage = Outage.HANG
         for other in fleet.entries[:5]:
-            fleet.network.heal(late.ip, other.ip)
+            fleet.network.heal(isolated.ip, other.ip)
         assert await fleet.settle(4, 40.0) < 20.0
 
 
@@ -276,7 +276,7 @@
         assert fleet.platform.table.reads.total - reads < 10
 
 
-async def test_an_agent_that_hears_no_entry_does_not_take_its_configuration_for_the_newest() -> (
+async def test_an_agent_that_reaches_no_entry_does_not_report_its_configuration_as_current() -> (
     None
 ):
     async with running(entries=3, agents=1) as fleet:
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -1,4 +1,4 @@
-"""Whole fleets of ledgers and followers under seeded faults, checked by their history."""
+"""Fleets of ledgers and followers under faults drawn from a seed, with their history checked."""
 
 import asyncio
 import json
@@ -47,7 +47,7 @@
 
 
 class Campaign:
-    """Operators at several entries, faults from a seed, and the history of it all."""
+    """Sends commands to several entries, makes faults drawn from a seed, records the history."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet = fleet
@@ -62,19 +62,19 @@
         def recording_put(
             key: str, value: str, if_version: int | None
         ) -> tuple[bool, StoredRow | None]:
-            held, row = put(key, value, if_version)
-            if held and key.startswith(ROW_PREFIX):
+            is_written, row = put(key, value, if_version)
+            if is_written and key.startswith(ROW_PREFIX):
                 entry = decode_entry(value)
                 if entry.revision > self.deleted():
                     self.history.append(LogRow(self.now(), entry.revision, entry.command_id))
-            return held, row
+            return is_written, row
 
         fleet.platform.table.put = recording_put  # type: ignore[method-assign]
         for node in fleet.nodes():
             self.watch(node, 0)
 
     def deleted(self) -> int:
-        """Return up to where rows do not count any more, late ones included."""
+        """Return the revision up to which rows are ignored, including late writes."""
         row = self.fleet.platform.table.rows.get(FLOOR_KEY)
         return int(json.loads(row.value)["deleted"]) if row is not None else 0
 
@@ -101,7 +101,7 @@
         return change_of(SetDrain(f"h{self.rng.randrange(5)}", True))
 
     async def command(self, number: int) -> None:
-        """Put one command to an entry, and to others with the same id while its fate is open."""
+        """Send one command to an entry, then to others with the same id while it is in doubt."""
         name, change = f"c{number}", self.change()
         read: int | None = None
         for attempt in range(3):
@@ -179,7 +179,7 @@
 
 
 async def run_campaign(seed: int) -> list[Violation]:
-    """Run operators and faults from a seed; return what the checkers find in the history."""
+    """Run commands and faults drawn from a seed; return the violations in the history."""
     async with running(entries=5, agents=4, seed=seed, snapshot_every=10) as fleet:
         await fleet.entries[0].accept(release("base"), command="base")
         await fleet.settle(1)
@@ -202,14 +202,15 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-async def test_faults_lose_double_and_revert_nothing(seed: int) -> None:
+async def test_faults_neither_lose_nor_duplicate_nor_revert_commands(seed: int) -> None:
     assert await run_campaign(seed) == []
 
 
 async def accept_after_a_long_pause() -> tuple[int, dict[int, str]]:
-    """Pause an entry just before its write, until the row has been taken and deleted.
+    """Pause an entry just before its write, until another has written that row and deleted it.
 
-    Return the revision that its command was accepted as, and what the log had at each.
+    Return the revision at which its command was accepted, and the other entry's command id at each
+    revision.
     """
     async with running(entries=2, snapshot_every=5) as fleet:
         paused, awake = fleet.entries
@@ -230,12 +231,12 @@
     assert revision == max(log) + 1
 
 
-async def test_without_the_floor_it_would_take_a_place_that_another_has(
+async def test_without_the_floor_a_paused_command_takes_the_revision_of_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def confirm_blindly(*_: object) -> Appended:
+    async def confirm_without_reading(*_: object) -> Appended:
         return Appended()
 
-    monkeypatch.setattr(LogStore, "_confirm", confirm_blindly)
+    monkeypatch.setattr(LogStore, "_confirm", confirm_without_reading)
     revision, log = await accept_after_a_long_pause()
     assert log[revision] != "late"
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -1,6 +1,6 @@
-"""Each checker catches a product that breaks its property, in a run of a whole fleet.
+"""Each checker detects an implementation that violates its property, in a run of a whole fleet.
 
-The fault lies in a patch here, never in the product. The same story without it must be sound.
+Each fault is a patch in this file. The same scenario without the patch has no violations.
 """
 
 import asyncio
@@ -29,11 +29,11 @@
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
-# ---- the product's faults ------------------------------------------------------------------
+# ---- patches that break a property ---------------------------------------------------------
 
 
 def relay_and_serve_unverified_chunks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Neither the chunks are checked nor what the engine says it has loaded."""
+    """Skip the check of chunks, and activate whatever the engine reports as loaded."""
     load = TargetReconciler._load
 
     async def put(self: ChunkStore, chunk_hash: bytes, data: bytes) -> bool:
@@ -51,22 +51,22 @@
     monkeypatch.setattr(TargetReconciler, "_load", load_and_activate)
 
 
-def take_cut_answers_for_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def accept_cut_answers_as_complete(monkeypatch: pytest.MonkeyPatch) -> None:
     generate = EngineClient.generate
 
-    async def generate_anyhow(self: EngineClient, *given: Any) -> AsyncIterator[Any]:
+    async def generate_without_errors(self: EngineClient, *args: Any) -> AsyncIterator[Any]:
         pieces = 0
         try:
-            async for item in generate(self, *given):
+            async for item in generate(self, *args):
                 pieces += len(item.pieces) if isinstance(item, PieceBatch) else 0
                 yield item
         except AnswerIncomplete:
             yield AnswerEnd(pieces, (await self.state()).active)
 
-    monkeypatch.setattr(EngineClient, "generate", generate_anyhow)
+    monkeypatch.setattr(EngineClient, "generate", generate_without_errors)
 
 
-def call_cut_answers_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def report_cut_answers_as_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine, "lost_within_answer", lambda error: TargetRefused(str(error)))
 
 
@@ -77,14 +77,14 @@
     monkeypatch.setattr(requests, "next_step", next_step)
 
 
-def ignore_who_is_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignore_leaving_members(monkeypatch: pytest.MonkeyPatch) -> None:
     def read_member(value: dict[str, Any]) -> membership.Member:
         return replace(member_from_json(value), state=MemberState.LIVE)
 
     monkeypatch.setattr(membership, "member_from_json", read_member)
 
 
-def close_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def close_without_draining(monkeypatch: pytest.MonkeyPatch) -> None:
     async def drain(self: EntryProcess) -> None:
         return
 
@@ -106,7 +106,7 @@
     monkeypatch.setattr(Replica, "offer", offer)
 
 
-# ---- what happens meanwhile ----------------------------------------------------------------
+# ---- scenarios that reveal the broken property ---------------------------------------------
 
 
 async def spread_from_a_corrupting_origin(trial: Trial) -> None:
@@ -137,7 +137,7 @@
     await asyncio.sleep(12.0)
 
 
-async def shut_an_entry_down(trial: Trial) -> None:
+async def shut_down_an_entry(trial: Trial) -> None:
     for name in trial.fleet.agents:
         await trial.fleet.slow_target(name, 10.0)
     while "entry-1" not in trial.fleet.attempts_at_entries():  # noqa: ASYNC110
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A property, a fault of the product that breaks it, and the story that shows it."""
+    """A property, a patch that breaks it, and the scenario that reveals the violation."""
 
     property: Property
     patch: Patch
@@ -166,24 +166,24 @@
     Case(
         Property.WHOLE_WEIGHTS, relay_and_serve_unverified_chunks, spread_from_a_corrupting_origin
     ),
-    Case(Property.WHOLE_ANSWERS, take_cut_answers_for_whole, cut_some_answers),
-    Case(Property.NOT_RUN, call_cut_answers_not_run, cut_every_answer),
+    Case(Property.WHOLE_ANSWERS, accept_cut_answers_as_complete, cut_some_answers),
+    Case(Property.NOT_RUN, report_cut_answers_as_not_run, cut_every_answer),
     Case(Property.AT_MOST_ONCE, retry_after_a_lost_reply, cut_some_answers),
-    Case(Property.LEAVING, ignore_who_is_leaving, list_a_host_as_leaving),
-    Case(Property.GRACEFUL_SHUTDOWN, close_at_once, shut_an_entry_down),
+    Case(Property.LEAVING, ignore_leaving_members, list_a_host_as_leaving),
+    Case(Property.GRACEFUL_SHUTDOWN, close_without_draining, shut_down_an_entry),
     Case(Property.CONFIGURATION, apply_out_of_order, replace_an_entry),
 ]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.patch.__name__)
-def test_mutant_is_caught(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_mutant_is_detected(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
     case.patch(monkeypatch)
     verdict = run_story(case.story)
     assert count_by_property(verdict.violations)[case.property.value] > 0
 
 
 @pytest.mark.parametrize("story", dict.fromkeys(case.story for case in CASES))
-def test_story_without_the_mutant_is_sound(story: Story) -> None:
+def test_scenario_without_the_mutant_has_no_violations(story: Story) -> None:
     verdict = run_story(story)
     assert not verdict.violations, describe(verdict.violations)
     assert verdict.outcomes["answered"] > 0
--- a/tests/test_named_entries.py
+++ b/tests/test_named_entries.py
@@ -1,4 +1,4 @@
-"""The entries that accounts are told of, worked out once for each list of hosts."""
+"""The entries assigned to accounts, cached for each list of hosts."""
 
 from dataclasses import replace
 
@@ -31,7 +31,7 @@
     return {entry.host for entry in entries}
 
 
-def test_each_list_is_ranked_once_for_an_account(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_list_is_ranked_once_for_each_account(monkeypatch: pytest.MonkeyPatch) -> None:
     ranked: list[Account] = []
 
     def rank(account: Account, entries: list[LiveEntry], count: int) -> tuple[LiveEntry, ...]:
@@ -49,18 +49,18 @@
     assert ranked == [BUYERS, PRESS, BUYERS]
 
 
-def test_a_new_list_is_taken_at_once() -> None:
+def test_a_new_list_is_used_at_once() -> None:
     listed = [make_list(20)]
     entries = AccountEntries(lambda: listed[0], LEAVING_S)
-    gone = entries.for_account(BUYERS, 3, 0.0)[0].host
+    leaving = entries.for_account(BUYERS, 3, 0.0)[0].host
     listed[0] = tuple(
-        replace(each, state=MemberState.LEAVING) if each.host == gone else each
+        replace(each, state=MemberState.LEAVING) if each.host == leaving else each
         for each in listed[0]
     )
-    assert gone not in hosts(entries.for_account(BUYERS, 3, 0.0))
+    assert leaving not in hosts(entries.for_account(BUYERS, 3, 0.0))
 
 
-def test_an_entry_that_leaves_is_out_until_it_says_otherwise_or_its_time_is_up() -> None:
+def test_a_leaving_entry_is_omitted_until_it_reports_otherwise_or_a_time_limit() -> None:
     listed = make_list(20)
     entries = AccountEntries(lambda: listed, LEAVING_S)
     before = entries.for_account(BUYERS, 3, 0.0)
@@ -73,7 +73,7 @@
     assert entries.for_account(BUYERS, 3, LEAVING_S + 1) == before
 
 
-def test_a_larger_share_names_more_entries() -> None:
+def test_a_larger_count_adds_entries() -> None:
     listed = make_list(20)
     entries = AccountEntries(lambda: listed, LEAVING_S)
     assert hosts(entries.for_account(BUYERS, 3, 0.0)) < hosts(entries.for_account(BUYERS, 6, 0.0))
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Placement by any entry: dead hosts, lost racks and places, lag, and entries that were paused."""
+"""Placement by any entry: dead hosts, lost racks and places, list lag, and paused entries."""
 
 import asyncio
 import json
@@ -25,8 +25,8 @@
 SERVICES = 2
 
 
-class Hall:
-    """A fleet with placers, whose list of hosts lags and whose live agents send heartbeats."""
+class PlacerFleet:
+    """A fleet with placers, a list of hosts that lags, and heartbeats from all live agents."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -42,13 +42,13 @@
         for node in self.fleet.entries:
             assert node.placer is not None
             await node.placer.start()
-        self._tasks.append(asyncio.ensure_future(self._beat()))
+        self._tasks.append(asyncio.ensure_future(self._send_heartbeats()))
 
     async def close(self) -> None:
         for task in self._tasks:
             task.cancel()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             now = asyncio.get_running_loop().time()
             for entry in self.fleet.entries:
@@ -58,7 +58,7 @@
             await asyncio.sleep(1.0)
 
     async def lose(self, *agents: Node) -> None:
-        """Lose hosts at once; the list says so only after its lag."""
+        """Lose hosts at once; they leave the list only after its lag."""
         names = {agent.name for agent in agents}
         self.dead |= names
         for agent in agents:
@@ -75,8 +75,8 @@
         hosts = self.fleet.entries[entry].ledger.state.hosts_of(name)
         return sum(1 for host in hosts if host not in self.dead)
 
-    async def until_whole(self, replicas: int, limit_s: float = 60.0) -> float:
-        """Wait until every service has its live replicas everywhere; return how long it took."""
+    async def until_placed(self, replicas: int, limit_s: float = 60.0) -> float:
+        """Wait until all entries place enough live replicas; return the elapsed time in seconds."""
         began = asyncio.get_running_loop().time()
         names = [f"s{n}" for n in range(SERVICES)]
         entries = range(len(self.fleet.entries))
@@ -99,83 +99,85 @@
 
 
 @asynccontextmanager
-async def open_hall(entries: int = 3, agents: int = 12, replicas: int = 4) -> AsyncIterator[Hall]:
+async def open_placer_fleet(
+    entries: int = 3, agents: int = 12, replicas: int = 4
+) -> AsyncIterator[PlacerFleet]:
     async with running(entries, agents, dead_host_ms=int(DEAD_S * 1000)) as fleet:
-        hall = Hall(fleet)
-        await hall.start()
+        placers = PlacerFleet(fleet)
+        await placers.start()
         declared = [service(f"s{number}", ("m", replicas)) for number in range(SERVICES)]
         await fleet.entries[0].accept(release("m"), *declared, command="declare")
-        await hall.until_whole(replicas)
+        await placers.until_placed(replicas)
         await asyncio.sleep(3)
         try:
-            yield hall
+            yield placers
         finally:
-            await hall.close()
+            await placers.close()
 
 
-def placed_agents(hall: Hall) -> list[Node]:
-    state = hall.fleet.entries[0].ledger.state
-    return [agent for agent in hall.fleet.agents if state.assignments_of(agent.name)]
+def placed_agents(placers: PlacerFleet) -> list[Node]:
+    state = placers.fleet.entries[0].ledger.state
+    return [agent for agent in placers.fleet.agents if state.assignments_of(agent.name)]
 
 
-async def test_one_entry_places_all_that_was_declared() -> None:
-    async with open_hall() as hall:
-        placements = [entry for entry in hall.placements if is_placement_only(entry)]
+async def test_one_entry_places_all_declared_replicas() -> None:
+    async with open_placer_fleet() as placers:
+        placements = [entry for entry in placers.placements if is_placement_only(entry)]
         assert len(placements) == 1
-        assert hall.moves_since(0) == 4 * SERVICES
+        assert placers.moves_since(0) == 4 * SERVICES
 
 
 async def test_a_dead_host_is_replaced_with_one_move() -> None:
-    async with open_hall() as hall:
-        before = hall.revision()
-        await hall.lose(placed_agents(hall)[0])
-        assert await hall.until_whole(4) < DEAD_S + 3
+    async with open_placer_fleet() as placers:
+        before = placers.revision()
+        await placers.lose(placed_agents(placers)[0])
+        assert await placers.until_placed(4) < DEAD_S + 3
         await asyncio.sleep(20)
-        assert hall.moves_since(before) == 1
+        assert placers.moves_since(before) == 1
 
 
-async def test_a_lost_rack_is_one_entry() -> None:
-    async with open_hall() as hall:
-        before = hall.revision()
-        rack = placed_agents(hall)[:3]
-        await hall.lose(*rack)
-        await hall.until_whole(4)
+async def test_a_lost_rack_is_replaced_by_one_log_entry() -> None:
+    async with open_placer_fleet() as placers:
+        before = placers.revision()
+        rack = placed_agents(placers)[:3]
+        await placers.lose(*rack)
+        await placers.until_placed(4)
         await asyncio.sleep(20)
-        assert hall.revision() == before + 1
-        assert hall.moves_since(before) == 3
+        assert placers.revision() == before + 1
+        assert placers.moves_since(before) == 3
 
 
-async def test_a_lost_place_moves_as_much_as_the_others_can_hold() -> None:
-    async with open_hall(agents=18) as hall:
-        before = hall.revision()
-        lost = [agent for agent in hall.fleet.agents if agent.place == PLACES[1]]
-        gone = [agent for agent in placed_agents(hall) if agent.place == PLACES[1]]
-        await hall.lose(*lost)
-        await hall.until_whole(4)
+async def test_a_lost_place_moves_each_of_its_replicas_once() -> None:
+    async with open_placer_fleet(agents=18) as placers:
+        before = placers.revision()
+        lost = [agent for agent in placers.fleet.agents if agent.place == PLACES[1]]
+        gone = [agent for agent in placed_agents(placers) if agent.place == PLACES[1]]
+        await placers.lose(*lost)
+        await placers.until_placed(4)
         await asyncio.sleep(20)
-        assert hall.moves_since(before) == len(gone)
+        assert placers.moves_since(before) == len(gone)
 
 
-async def test_lag_of_the_list_alone_moves_nothing() -> None:
-    async with open_hall() as hall:
-        before = hall.revision()
-        everyone = hall.fleet.members
-        slow = {agent.name for agent in placed_agents(hall)[:3]}
-        hall.fleet.members = [member for member in everyone if member.host not in slow]
+async def test_a_lagging_list_alone_moves_nothing() -> None:
+    async with open_placer_fleet() as placers:
+        before = placers.revision()
+        all_members = placers.fleet.members
+        slow = {agent.name for agent in placed_agents(placers)[:3]}
+        placers.fleet.members = [member for member in all_members if member.host not in slow]
         await asyncio.sleep(40)
-        hall.fleet.members = everyone
+        placers.fleet.members = all_members
         await asyncio.sleep(10)
-        assert hall.revision() == before
+        assert placers.revision() == before
 
 
-async def test_with_twenty_seconds_of_lag_a_dead_host_is_replaced_once_the_list_says_so() -> None:
-    async with open_hall() as hall:
-        before = hall.revision()
-        hall.lag_s = 20.0
-        await hall.lose(placed_agents(hall)[0])
-        assert 20.0 < await hall.until_whole(4) < 25.0
+async def test_with_twenty_seconds_of_lag_a_dead_host_is_replaced_once_unlisted() -> None:
+    async with open_placer_fleet() as placers:
+        before = placers.revision()
+        placers.lag_s = 20.0
+        await placers.lose(placed_agents(placers)[0])
+        assert 20.0 < await placers.until_placed(4) < 25.0
         await asyncio.sleep(20)
-        assert hall.moves_since(before) == 1
+        assert placers.moves_since(before) == 1
 
 
 async def refuse(exchange: Exchange) -> None:
@@ -183,68 +185,70 @@
 
 
 @pytest.mark.parametrize("refuses", [False, True])
-async def test_a_host_that_no_entry_hears_but_that_answers_stays(refuses: bool) -> None:
-    async with open_hall() as hall:
-        before = hall.revision()
-        quiet = placed_agents(hall)[0]
+async def test_a_host_without_heartbeats_that_answers_a_probe_keeps_its_placement(
+    refuses: bool,
+) -> None:
+    async with open_placer_fleet() as placers:
+        before = placers.revision()
+        silent = placed_agents(placers)[0]
         if refuses:
-            quiet.peer.handler = refuse
-        hall.dead.add(quiet.name)
-        hall.fleet.members = [each for each in hall.fleet.members if each.host != quiet.name]
+            silent.peer.handler = refuse
+        placers.dead.add(silent.name)
+        placers.fleet.members = [each for each in placers.fleet.members if each.host != silent.name]
         await asyncio.sleep(60)
-        assert hall.revision() == before
+        assert placers.revision() == before
 
 
 async def test_a_host_that_dies_while_the_store_is_down_is_replaced_when_it_is_up() -> None:
-    async with open_hall() as hall:
-        before = hall.revision()
-        hall.fleet.platform.table.faults.outage = Outage.REFUSE
-        await hall.lose(placed_agents(hall)[0])
+    async with open_placer_fleet() as placers:
+        before = placers.revision()
+        placers.fleet.platform.table.faults.outage = Outage.REFUSE
+        await placers.lose(placed_agents(placers)[0])
         await asyncio.sleep(40)
-        assert hall.revision() == before
-        hall.fleet.platform.table.faults.outage = Outage.NONE
-        assert await hall.until_whole(4) < 6.0
+        assert placers.revision() == before
+        placers.fleet.platform.table.faults.outage = Outage.NONE
+        assert await placers.until_placed(4) < 6.0
         await asyncio.sleep(20)
-        assert hall.moves_since(before) == 1
+        assert placers.moves_since(before) == 1
 
 
 async def test_the_next_entry_places_when_the_first_is_gone() -> None:
-    async with open_hall() as hall:
-        names = [entry.name for entry in hall.fleet.entries]
+    async with open_placer_fleet() as placers:
+        names = [entry.name for entry in placers.fleet.entries]
         first = next(
-            e for e in hall.fleet.entries if e.name == rendezvous_order(PLACER_PURPOSE, names)[0]
+            e for e in placers.fleet.entries if e.name == rendezvous_order(PLACER_PURPOSE, names)[0]
         )
         assert first.placer is not None
         await first.placer.close()
-        before = hall.revision()
-        await hall.lose(placed_agents(hall)[0])
-        assert await hall.until_whole(4) < DEAD_S + 4
-        assert hall.moves_since(before) == 1
+        before = placers.revision()
+        await placers.lose(placed_agents(placers)[0])
+        assert await placers.until_placed(4) < DEAD_S + 4
+        assert placers.moves_since(before) == 1
 
 
-async def test_a_leaving_host_is_replaced_at_once_and_not_brought_back() -> None:
-    async with open_hall() as hall:
-        leaver = placed_agents(hall)[0].name
-        hall.fleet.members = [
+async def test_a_leaving_host_is_replaced_at_once_and_not_placed_again() -> None:
+    async with open_placer_fleet() as placers:
+        leaver = placed_agents(placers)[0].name
+        placers.fleet.members = [
             replace(each, state=MemberState.LEAVING) if each.host == leaver else each
-            for each in hall.fleet.members
+            for each in placers.fleet.members
         ]
         await asyncio.sleep(3)
-        state = hall.fleet.entries[1].ledger.state
+        state = placers.fleet.entries[1].ledger.state
         assert state.assignments_of(leaver) == []
         assert len(state.hosts_of("s0")) == len(state.hosts_of("s1")) == 4
 
 
-async def test_a_paused_entry_that_resumes_does_not_bring_its_old_placement_back() -> None:
-    async with open_hall() as hall:
-        names = [entry.name for entry in hall.fleet.entries]
+async def test_a_paused_entry_that_resumes_does_not_restore_its_old_placement() -> None:
+    async with open_placer_fleet() as placers:
+        names = [entry.name for entry in placers.fleet.entries]
         paused = next(
-            e for e in hall.fleet.entries if e.name == rendezvous_order(PLACER_PURPOSE, names)[0]
+            e for e in placers.fleet.entries if e.name == rendezvous_order(PLACER_PURPOSE, names)[0]
         )
         gate = Gate(paused.table)
-        await hall.lose(placed_agents(hall)[0])
-        await hall.until_whole(4)
-        awake = next(entry for entry in hall.fleet.entries if entry is not paused)
+        await placers.lose(placed_agents(placers)[0])
+        await placers.until_placed(4)
+        awake = next(entry for entry in placers.fleet.entries if entry is not paused)
         await awake.accept(service("s0", ("m", 2)), command="fewer")
         await asyncio.sleep(5)
         placed = dict(awake.ledger.state.placements)
@@ -259,7 +263,7 @@
 
 
 class LeaseHolder:
-    """The way not taken: whoever holds a lease writes the placement without comparing."""
+    """The rejected alternative: the holder of a lease writes placements without comparison."""
 
     def __init__(self, name: str, table: TableClient) -> None:
         self._name = name
@@ -280,7 +284,7 @@
         await self._table.put("placement", json.dumps(hosts))
 
 
-async def test_a_lease_holder_that_was_paused_does_bring_its_old_placement_back() -> None:
+async def test_a_paused_lease_holder_restores_its_old_placement() -> None:
     async with running(entries=2) as fleet:
         one, two = (LeaseHolder(node.name, node.table) for node in fleet.entries)
         assert await one.place(["h1", "h2"])
--- a/tests/test_process_start.py
+++ b/tests/test_process_start.py
@@ -1,4 +1,4 @@
-"""Starting a real process: what is wrong at its start ends it at once, with a remedy."""
+"""Start of a real process: a startup error ends it at once, with a remedy; so does a signal."""
 
 import os
 import signal
@@ -12,39 +12,39 @@
 from lacewinggw.entry.process import EntryProcess
 from lacewinggw.settings import default_settings, write_settings
 
-NOBODY = "127.0.0.1:1"
+UNREACHABLE = "127.0.0.1:1"
 
 
 @pytest.fixture
-def taken_address() -> Iterator[str]:
-    """Return an address that another listener has."""
+def used_address() -> Iterator[str]:
+    """Return an address that another listener uses."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         yield f"127.0.0.1:{server.getsockname()[1]}"
 
 
 def write_entry_settings(path: Path, operator_listen: str) -> str:
-    """Write settings of an entry whose platform is down and return the file's name."""
+    """Write settings of an entry whose platform is unreachable, and return the file's name."""
     settings = default_settings()
     settings.process.host, settings.process.place = "h-1", "labasa-hall"
     settings.process.fleet_key = "key"
     platform = settings.platform
-    platform.table = platform.objects = platform.origin = NOBODY
-    platform.weight_store = platform.membership = NOBODY
+    platform.table = platform.objects = platform.origin = UNREACHABLE
+    platform.weight_store = platform.membership = UNREACHABLE
     settings.entry.operator_listen = operator_listen
     settings.entry.caller_listen = settings.entry.peer_listen = "127.0.0.1:0"
     path.write_text(write_settings(settings))
     return str(path)
 
 
-def test_taken_address_is_bad_input(
+def test_used_address_is_bad_input(
     tmp_path: Path,
-    taken_address: str,
+    used_address: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    file = write_entry_settings(tmp_path / "entry.ini", taken_address)
+    file = write_entry_settings(tmp_path / "entry.ini", used_address)
     assert main(["entry", "--settings", file]) == ExitCode.BAD_INPUT
     err = capsys.readouterr().err
-    assert f"lacewinggw: LW-1010 listen-failed: cannot listen on {taken_address}: " in err
+    assert f"lacewinggw: LW-1010 listen-failed: cannot listen on {used_address}: " in err
     assert "Traceback" not in err.split("lacewinggw: LW-1010")[0]
 
 
--- a/tests/test_request_faults.py
+++ b/tests/test_request_faults.py
@@ -1,7 +1,7 @@
-"""Callers of every kind under faults, singly and in pairs, with the history checked.
+"""Requests of every kind under single faults and pairs of faults, with the history checked.
 
-Each fault is made again and again at places drawn from the seed, while requests of every kind go on
-at several entries. Then the targets' own records are laid beside what the callers were told.
+Each fault is repeated at hosts drawn from the seed, while requests of every kind continue at
+several entries. The targets' own records are then compared with the callers' responses.
 """
 
 import asyncio
@@ -42,8 +42,8 @@
 
 SECONDS = 3.0
 REQUESTERS = 8
-LEAST_ANSWERED = 25
-BETWEEN_S = (0.2, 0.8)
+MIN_ANSWERED = 25
+PAUSE_RANGE_S = (0.2, 0.8)
 
 
 class Trial:
@@ -61,9 +61,9 @@
         self.recorder.record(Killed(self.recorder.now(), lost.host))
         await lost.lose()
         await asyncio.sleep(self.rng.uniform(0.1, 0.5))
-        fresh = Entry(self.fleet, number, generation=lost.generation + 1)
-        self.fleet.entries[number] = fresh
-        await fresh.start()
+        replacement = Entry(self.fleet, number, generation=lost.generation + 1)
+        self.fleet.entries[number] = replacement
+        await replacement.start()
 
     async def replace_agent(self) -> None:
         agent = self.rng.choice(self.fleet.agents)
@@ -144,13 +144,13 @@
         leaving.callers.begin_drain()
         if await leaving.callers.drained(60) and self.fleet.entries[number] is leaving:
             await leaving.stop()
-            fresh = Entry(self.fleet, number, generation=leaving.generation + 1)
-            self.fleet.entries[number] = fresh
-            await fresh.start()
+            replacement = Entry(self.fleet, number, generation=leaving.generation + 1)
+            self.fleet.entries[number] = replacement
+            await replacement.start()
 
     async def make_faults(self, fault: Callable[[], Awaitable[None]]) -> None:
         while not self.stopping:
-            await asyncio.sleep(self.rng.uniform(*BETWEEN_S))
+            await asyncio.sleep(self.rng.uniform(*PAUSE_RANGE_S))
             await fault()
 
     async def call(self, number: int) -> Counter[str]:
@@ -168,9 +168,9 @@
 
     def collect(self) -> None:
         for agent in self.fleet.agents:
-            told = agent.target.records.describe(0)
-            told.setdefault("activations", [])
-            self.recorder.record(*run_events(agent.host, told))
+            records = agent.target.records.describe(0)
+            records.setdefault("activations", [])
+            self.recorder.record(*run_events(agent.host, records))
 
 
 async def run_trial(faults: tuple[str, ...], seed: int) -> Trial:
@@ -179,15 +179,17 @@
         for release in "12":
             trial.recorder.record(ReleasePublished(0.0, fleet.agents[0].activate(release)))
         fleet.agents[0].activate("1")
-        chaos = [asyncio.create_task(trial.make_faults(getattr(trial, name))) for name in faults]
+        disturbing = [
+            asyncio.create_task(trial.make_faults(getattr(trial, name))) for name in faults
+        ]
         calls = [asyncio.create_task(trial.call(number)) for number in range(REQUESTERS)]
         await asyncio.sleep(SECONDS)
         trial.stopping = True
         answered = sum(await asyncio.gather(*calls), Counter())
-        await asyncio.gather(*chaos)
+        await asyncio.gather(*disturbing)
         await asyncio.sleep(60)
         trial.collect()
-        assert answered.total() >= LEAST_ANSWERED, f"too few to say anything: {answered}"
+        assert answered.total() >= MIN_ANSWERED, f"too few answers: {answered}"
         return trial
 
 
@@ -204,34 +206,36 @@
     "leave_agent",
     "leave_entry",
 )
-NEXT_BUT = 3
-PAIRS = [(fault, FAULTS[(n + NEXT_BUT) % len(FAULTS)]) for n, fault in enumerate(FAULTS)]
+PAIR_DISTANCE = 3
+PAIRS = [(fault, FAULTS[(n + PAIR_DISTANCE) % len(FAULTS)]) for n, fault in enumerate(FAULTS)]
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_no_property_breaks_under_one_fault(fault: str) -> None:
+def test_all_properties_hold_under_one_fault(fault: str) -> None:
     trial = run_virtual(run_trial((fault,), seed=1))
     violations = check(trial.recorder.history)
     assert not violations, describe(violations)
 
 
 @pytest.mark.parametrize("pair", PAIRS, ids="-".join)
-def test_no_property_breaks_under_two_faults(pair: tuple[str, str]) -> None:
+def test_all_properties_hold_under_two_faults(pair: tuple[str, str]) -> None:
     trial = run_virtual(run_trial(pair, seed=2))
     violations = check(trial.recorder.history)
     assert not violations, describe(violations)
 
 
-def retry_whatever(error: LacewingError, situation: AttemptContext) -> Step:
+def retry_unrepeatable_requests(error: LacewingError, situation: AttemptContext) -> Step:
     return next_step(error, replace(situation, repeatable=True))
 
 
-def call_it_not_run(error: LacewingError, situation: AttemptContext) -> Step:
+def report_not_run(error: LacewingError, situation: AttemptContext) -> Step:
     step = next_step(error, situation)
     return GiveUp(NoTarget(error.reason)) if isinstance(step, GiveUp) else step
 
 
-async def take_as_whole(self: Attempt, call: OutgoingCall, progress: AnswerProgress) -> Any:
+async def accept_incomplete_answers(
+    self: Attempt, call: OutgoingCall, progress: AnswerProgress
+) -> Any:
     async for message in call.replies():
         if isinstance(message, Pieces):
             progress.pieces += len(message.pieces)
@@ -241,16 +245,14 @@
 
 
 MUTANTS = {
-    Property.AT_MOST_ONCE: ("replace_agent", requests, "next_step", retry_whatever),
-    Property.NOT_RUN: ("replace_agent", requests, "next_step", call_it_not_run),
-    Property.WHOLE_ANSWERS: ("cut_link", Attempt, "_receive", take_as_whole),
+    Property.AT_MOST_ONCE: ("replace_agent", requests, "next_step", retry_unrepeatable_requests),
+    Property.NOT_RUN: ("replace_agent", requests, "next_step", report_not_run),
+    Property.WHOLE_ANSWERS: ("cut_link", Attempt, "_receive", accept_incomplete_answers),
 }
 
 
 @pytest.mark.parametrize("broken", MUTANTS, ids=lambda broken: broken.value)
-def test_a_product_that_breaks_a_property_is_caught(
-    broken: Property, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_mutant_violates_its_property(broken: Property, monkeypatch: pytest.MonkeyPatch) -> None:
     fault, module, name, mutant = MUTANTS[broken]
     monkeypatch.setattr(module, name, mutant)
     trial = run_virtual(run_trial((fault,), seed=1))
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through entries and agents: whole answers, honest outcomes, at most once."""
+"""Requests through entries and agents: complete answers, correct outcomes, at most one run."""
 
 import asyncio
 import hashlib
@@ -12,7 +12,7 @@
 
 
 @fleet_test()
-async def test_an_answer_is_whole_and_says_so(fleet: RequestFleet) -> None:
+async def test_an_answer_is_complete_and_has_its_digests(fleet: RequestFleet) -> None:
     response = await fleet.entries[0].ask(prompt(pieces=20))
     assert response.status == 200
     assert response.headers["outcome"] == "answered"
@@ -30,14 +30,14 @@
 
 
 @fleet_test(engines=0, plains=1)
-async def test_a_plain_service_answers_by_its_path(fleet: RequestFleet) -> None:
+async def test_a_plain_service_receives_the_path(fleet: RequestFleet) -> None:
     response = await fleet.entries[0].ask(b"{}", PLAIN, "/sheets/7")
     assert response.status == 200
     assert response.json()["path"] == "/sheets/7"
 
 
 @fleet_test()
-async def test_what_cannot_be_run_is_refused_as_not_run(fleet: RequestFleet) -> None:
+async def test_requests_that_cannot_run_are_refused_as_not_run(fleet: RequestFleet) -> None:
     entry = fleet.entries[0]
     for agent in fleet.agents:
         agent.requests.begin_drain()
@@ -52,18 +52,18 @@
 
 
 @fleet_test()
-async def test_a_repeatable_request_goes_on_elsewhere(fleet: RequestFleet) -> None:
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotent="true"))
+async def test_a_repeatable_request_resumes_at_another_agent(fleet: RequestFleet) -> None:
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotent="true"))
     await asyncio.sleep(0.1)
     await fleet.agents[0].stop()
-    response = await asked
+    response = await pending
     assert response.status == 200
     assert response.headers["pieces"] == "50"
     assert fleet.agents[1].runs()[0].resume_from > 0
 
 
 @fleet_test()
-async def test_a_cut_stream_goes_on_from_the_piece_that_is_due(fleet: RequestFleet) -> None:
+async def test_an_interrupted_stream_resumes_from_the_next_piece(fleet: RequestFleet) -> None:
     events = []
     async for event in fleet.entries[0].stream(prompt(pieces=30), idempotent="true"):
         events.append(event)
@@ -74,7 +74,9 @@
 
 
 @fleet_test(engines=1)
-async def test_a_cut_stream_that_cannot_go_on_ends_in_an_error(fleet: RequestFleet) -> None:
+async def test_an_interrupted_stream_that_cannot_resume_ends_in_an_error(
+    fleet: RequestFleet,
+) -> None:
     events = []
     async for event in fleet.entries[0].stream(prompt(pieces=30), idempotent="true"):
         events.append(event)
@@ -86,26 +88,26 @@
 
 
 @fleet_test()
-async def test_an_unrepeatable_request_is_unknown_once_its_agent_is_replaced(
+async def test_an_unrepeatable_request_is_unknown_after_its_agent_is_replaced(
     fleet: RequestFleet,
 ) -> None:
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50)))
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50)))
     await asyncio.sleep(0.1)
     await fleet.agents[0].replace()
-    response = await asked
+    response = await pending
     assert (response.status, response.headers["outcome"]) == (502, "unknown")
     assert len(fleet.runs()) == 1
 
 
 @fleet_test()
-async def test_a_lost_connection_loses_no_run(fleet: RequestFleet) -> None:
+async def test_a_run_survives_a_lost_connection(fleet: RequestFleet) -> None:
     entry, agent = fleet.entries[0], fleet.agents[0]
-    asked = asyncio.create_task(entry.ask(prompt(pieces=50)))
+    pending = asyncio.create_task(entry.ask(prompt(pieces=50)))
     await asyncio.sleep(0.1)
     fleet.network.cut(entry.ip, agent.ip)
     await asyncio.sleep(0.02)
     fleet.network.heal(entry.ip, agent.ip)
-    response = await asked
+    response = await pending
     assert (response.status, response.headers["pieces"]) == (200, "50")
     assert len(fleet.runs()) == 1
 
@@ -131,47 +133,51 @@
 
 
 @fleet_test()
-async def test_an_entry_lost_after_the_offer_leaves_its_run_to_the_next(
+async def test_a_run_of_a_lost_entry_is_joined_through_another(
     fleet: RequestFleet,
 ) -> None:
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotency_key="k"))
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotency_key="k"))
     await asyncio.sleep(0.1)
     await fleet.entries[0].stop()
-    asked.cancel()
+    pending.cancel()
     response = await fleet.entries[1].ask(prompt(pieces=50), idempotency_key="k")
     assert (response.status, response.headers["pieces"]) == (200, "50")
     assert len(fleet.runs()) == 1
 
 
 @fleet_test(engines=1)
-async def test_weights_that_change_during_an_answer_spoil_it(fleet: RequestFleet) -> None:
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50)))
+async def test_a_change_of_weights_during_an_answer_fails_it(fleet: RequestFleet) -> None:
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50)))
     await asyncio.sleep(0.1)
     fleet.agents[0].activate("2")
-    response = await asked
+    response = await pending
     assert (response.status, response.headers["outcome"]) == (502, "unknown")
 
 
 @fleet_test(engines=1)
-async def test_an_engine_cut_short_is_never_a_whole_answer(fleet: RequestFleet) -> None:
+async def test_an_answer_cut_short_by_the_engine_is_never_complete(fleet: RequestFleet) -> None:
     fleet.agents[0].engine.faults.cut_share = 1.0
     response = await fleet.entries[0].ask(prompt(pieces=50))
     assert (response.status, response.headers["outcome"]) == (502, "unknown")
 
 
 @fleet_test(engines=1, concurrency=1)
-async def test_a_leaving_agent_ends_what_it_took_and_takes_no_more(fleet: RequestFleet) -> None:
+async def test_a_draining_agent_finishes_accepted_requests_and_accepts_no_others(
+    fleet: RequestFleet,
+) -> None:
     entry, agent = fleet.entries[0], fleet.agents[0]
-    taken = [asyncio.create_task(entry.ask(prompt(f"{n}"))) for n in range(4)]
+    accepted = [asyncio.create_task(entry.ask(prompt(f"{n}"))) for n in range(4)]
     await asyncio.sleep(0.05)
     agent.requests.begin_drain()
     assert (await entry.ask()).headers["outcome"] == "not-run"
     assert await agent.requests.wait_drained(10)
-    assert [(await each).status for each in taken] == [200] * 4
+    assert [(await each).status for each in accepted] == [200] * 4
 
 
 @fleet_test(engines=1)
-async def test_a_leaving_entry_serves_on_out_of_the_answers(fleet: RequestFleet) -> None:
+async def test_a_draining_entry_still_serves_but_is_omitted_from_addresses(
+    fleet: RequestFleet,
+) -> None:
     entry = fleet.entries[0]
     assert len((await entry.get("/v1/addresses")).json()["addresses"]) == 2
     running = asyncio.create_task(entry.ask(prompt(pieces=2100)))
@@ -185,7 +191,7 @@
 
 
 @fleet_test(engines=1)
-async def test_a_swap_waits_for_what_runs_and_starts_nothing_meanwhile(
+async def test_a_weight_swap_waits_for_running_requests_and_delays_new_ones(
     fleet: RequestFleet,
 ) -> None:
     entry, agent = fleet.entries[0], fleet.agents[0]
@@ -203,7 +209,7 @@
 
 
 @fleet_test(engines=1)
-async def test_a_caller_that_leaves_a_stream_frees_the_target(fleet: RequestFleet) -> None:
+async def test_a_caller_that_closes_a_stream_frees_the_target(fleet: RequestFleet) -> None:
     events = fleet.entries[0].stream(prompt(pieces=5000), idempotent="true")
     async for _ in events:
         break
@@ -214,7 +220,7 @@
 
 
 @fleet_test(engines=1)
-async def test_a_slow_caller_holds_up_only_its_own_stream(fleet: RequestFleet) -> None:
+async def test_a_slow_caller_delays_only_its_own_stream(fleet: RequestFleet) -> None:
     agent, window = fleet.agents[0], fleet.settings.requests.piece_window
     events = fleet.entries[0].stream(prompt(pieces=2400), idempotent="true")
     await anext(events)
@@ -225,7 +231,7 @@
 
 
 @fleet_test()
-async def test_a_stream_that_never_begins_is_told_by_its_status(fleet: RequestFleet) -> None:
+async def test_a_stream_that_never_begins_has_an_error_status(fleet: RequestFleet) -> None:
     for agent in fleet.agents:
         agent.requests.begin_drain()
     response = await fleet.entries[0].ask(accept="text/event-stream")
@@ -233,7 +239,7 @@
 
 
 @fleet_test()
-async def test_a_stream_that_nobody_reads_holds_up_no_shutdown(fleet: RequestFleet) -> None:
+async def test_an_unread_stream_does_not_block_shutdown(fleet: RequestFleet) -> None:
     entry = fleet.entries[0]
     response = await entry.ask(accept="text/event-stream")
     await response.body.aclose()
@@ -243,33 +249,35 @@
 
 
 @fleet_test()
-async def test_a_repeatable_request_leaves_an_agent_that_falls_silent(fleet: RequestFleet) -> None:
+async def test_a_repeatable_request_is_retried_when_its_agent_is_unresponsive(
+    fleet: RequestFleet,
+) -> None:
     agent = fleet.agents[0]
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotent="true"))
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50), idempotent="true"))
     await asyncio.sleep(0.1)
     fleet.network.hold(agent.ip)
     agent.silent = agent.hidden = True
-    assert (await asyncio.wait_for(asked, 5)).headers["pieces"] == "50"
+    assert (await asyncio.wait_for(pending, 5)).headers["pieces"] == "50"
     fleet.network.let_go(agent.ip)
 
 
 @fleet_test()
-async def test_an_unrepeatable_request_waits_for_an_agent_that_falls_silent(
+async def test_an_unrepeatable_request_waits_for_an_unresponsive_agent(
     fleet: RequestFleet,
 ) -> None:
     agent = fleet.agents[0]
-    asked = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50)))
+    pending = asyncio.create_task(fleet.entries[0].ask(prompt(pieces=50)))
     await asyncio.sleep(0.1)
     fleet.network.hold(agent.ip)
     agent.silent = agent.hidden = True
     await asyncio.sleep(8)
     fleet.network.let_go(agent.ip)
-    assert (await asked).headers["pieces"] == "50"
+    assert (await pending).headers["pieces"] == "50"
     assert len(fleet.runs()) == 1
 
 
 @fleet_test(engines=1)
-async def test_a_leaving_agent_sends_on_to_a_slow_caller(fleet: RequestFleet) -> None:
+async def test_a_draining_agent_still_sends_to_a_slow_caller(fleet: RequestFleet) -> None:
     agent = fleet.agents[0]
     events = fleet.entries[0].stream(prompt(pieces=400), idempotent="true")
     await anext(events)
@@ -283,21 +291,23 @@
 
 
 @fleet_test(engines=1)
-async def test_a_leaving_entry_stays_while_callers_come_then_refuses(fleet: RequestFleet) -> None:
+async def test_a_draining_entry_serves_new_requests_for_half_of_its_limit_then_refuses(
+    fleet: RequestFleet,
+) -> None:
     entry = fleet.entries[0]
     entry.callers.begin_drain()
     drained = asyncio.create_task(entry.callers.drained(40))
-    told = []
+    outcomes = []
     for _ in range(30):
-        told.append((await entry.ask()).headers["outcome"])
+        outcomes.append((await entry.ask()).headers["outcome"])
         await asyncio.sleep(1)
-    assert set(told[:18]) == {"answered"}
-    assert set(told[22:]) == {"not-run"}
+    assert set(outcomes[:18]) == {"answered"}
+    assert set(outcomes[22:]) == {"not-run"}
     assert await drained
 
 
 @fleet_test(engines=1, plains=1)
-async def test_prompts_that_begin_alike_are_told_apart_only_after_that(
+async def test_prompts_share_the_blocks_of_their_common_prefix_only(
     fleet: RequestFleet,
 ) -> None:
     entry, heads = fleet.entries[0], []
@@ -317,7 +327,7 @@
 
 
 @fleet_test(engines=1)
-async def test_an_idle_agent_that_leaves_refuses_what_is_on_its_way(fleet: RequestFleet) -> None:
+async def test_an_idle_agent_that_drains_refuses_requests_in_transit(fleet: RequestFleet) -> None:
     entry, agent = fleet.entries[0], fleet.agents[0]
 
     async def leave() -> None:
@@ -326,15 +336,15 @@
         await agent.stop()
 
     await entry.ask()
-    on_its_way = asyncio.create_task(entry.ask())
+    in_transit = asyncio.create_task(entry.ask())
     await asyncio.sleep(0.0002)
-    await asyncio.gather(on_its_way, leave())
-    assert on_its_way.result().headers["outcome"] in ("answered", "not-run")
-    assert len(fleet.runs()) == 1 + (on_its_way.result().status == 200)
+    await asyncio.gather(in_transit, leave())
+    assert in_transit.result().headers["outcome"] in ("answered", "not-run")
+    assert len(fleet.runs()) == 1 + (in_transit.result().status == 200)
 
 
 @fleet_test()
-async def test_a_leaving_agent_answers_for_its_reservations(fleet: RequestFleet) -> None:
+async def test_a_draining_agent_waits_for_its_reservations_to_expire(fleet: RequestFleet) -> None:
     entry, agent = fleet.entries[0], fleet.agents[0]
     ticket = await entry.ticket()
     agent.requests.begin_drain()
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -1,7 +1,7 @@
-"""Calls to services of the platform over links that have little room.
+"""Calls to services of the platform over links with little bandwidth.
 
-A read that had a limit for its whole answer never ended over a link on which that took longer, and
-began anew each time; see `fleet/test_narrow_border.py` for what came of it.
+With a time limit for the whole answer, a read never finished over a link on which the answer took
+longer, and restarted each time; `fleet/test_narrow_border.py` shows the effect on a fleet.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 CLIENT_IP = "10.0.0.2"
 TIMEOUT_S = 1.0
 BORDER_BYTES_PER_S = 500_000
-DATA = bytes(range(256)) * 8192  # 2 MB: four seconds
+DATA = bytes(range(256)) * 8192  # 2 MB take four seconds
 
 
 async def start(network: MemoryNetwork) -> tuple[ObjectStandIn, ObjectClient]:
-    """Start a service and its client on either side of a narrow border."""
+    """Start a service and its client on the two sides of a border with little bandwidth."""
     network.part_regions({SERVICE_IP: "north", CLIENT_IP: "south"}, BORDER_BYTES_PER_S)
     service = ObjectStandIn(network.view(SERVICE_IP), f"{SERVICE_IP}:80")
     await service.start()
-    beside = ObjectClient(network.view(SERVICE_IP), service.address, TIMEOUT_S)
-    await beside.put("snapshot", DATA)
-    await beside.close()
+    local_client = ObjectClient(network.view(SERVICE_IP), service.address, TIMEOUT_S)
+    await local_client.put("snapshot", DATA)
+    await local_client.close()
     return service, ObjectClient(network.view(CLIENT_IP), service.address, TIMEOUT_S)
 
 
-async def test_an_answer_that_takes_longer_than_the_limit_is_read_while_it_comes() -> None:
+async def test_an_answer_that_takes_longer_than_the_limit_is_read_while_data_arrives() -> None:
     service, client = await start(MemoryNetwork())
     began = asyncio.get_running_loop().time()
     assert await client.get("snapshot") == DATA
@@ -42,7 +42,7 @@
     await service.close()
 
 
-async def test_an_answer_that_stands_still_is_given_up_within_the_limit() -> None:
+async def test_a_stalled_answer_fails_within_the_limit() -> None:
     network = MemoryNetwork()
     service, client = await start(network)
     reading = asyncio.ensure_future(client.get("snapshot"))
--- a/tests/test_target_directory.py
+++ b/tests/test_target_directory.py
@@ -1,4 +1,4 @@
-"""The directory of targets at an entry, with agents that only send heartbeats."""
+"""An entry's directory of targets, with agents that only send heartbeats."""
 
 import asyncio
 import random
@@ -42,7 +42,7 @@
 
 
 class FakeAgent:
-    """Listens, and sends a heartbeat a second on each link that watches."""
+    """Sends heartbeats on each watching link, one a second or at the longer requested interval."""
 
     def __init__(self, network: MemoryNetwork, number: int) -> None:
         self.host = f"t{number}"
@@ -83,7 +83,7 @@
 
 
 class Bench:
-    """An entry's directory and its agents."""
+    """An entry's target directory and the agents that it watches."""
 
     def __init__(self, count: int) -> None:
         self.network = MemoryNetwork()
@@ -133,7 +133,7 @@
         assert bench.targets.choose("no-such-service", HEAD) is None
 
 
-async def test_leaving_and_draining_targets_get_nothing_at_once() -> None:
+async def test_leaving_and_draining_targets_are_skipped_at_once() -> None:
     async with make_bench() as bench:
         bench.members[0] = replace(bench.members[0], state=MemberState.LEAVING)
         bench.targets.set_members(bench.members)
@@ -142,7 +142,7 @@
         assert set(bench.chosen()) == {"t2"}
 
 
-async def test_a_target_that_says_it_drains_or_serves_other_weights_is_left_out() -> None:
+async def test_a_target_that_reports_draining_or_other_weights_is_skipped() -> None:
     async with make_bench() as bench:
         bench.agents[0].heartbeat.state = TargetState.DRAINING
         bench.agents[1].heartbeat.digest = "d2"
@@ -152,7 +152,7 @@
         assert {bench.targets.choose(SERVICE, head).host for _ in range(20)} == {"t1"}
 
 
-async def test_a_lost_host_is_left_at_once_and_taken_back_when_it_returns() -> None:
+async def test_a_lost_host_is_skipped_at_once_and_used_again_when_it_returns() -> None:
     async with make_bench() as bench:
         bench.network.lose(bench.agents[0].ip)
         await asyncio.sleep(0.1)
@@ -165,7 +165,7 @@
         assert set(bench.chosen()) == {"t0", "t1", "t2"}
 
 
-async def test_a_silent_target_is_left_after_a_while() -> None:
+async def test_a_silent_target_is_skipped_after_the_timeout() -> None:
     async with make_bench() as bench:
         bench.agents[0].silent = True
         await asyncio.sleep(7.0)
@@ -182,19 +182,19 @@
         assert set(bench.chosen()) == {"t1", "t2"}
 
 
-async def test_calls_in_flight_and_load_in_replies_steer_the_choice() -> None:
+async def test_calls_in_flight_and_load_in_replies_affect_the_choice() -> None:
     async with make_bench() as bench:
         for _ in range(8):
             bench.targets.begin("t0")
         bench.targets.begin("t1")
-        full = messages.Load(running=8, queued=30, capacity=8, age_ms=0, request_ms=100.0)
-        bench.targets.end("t1", CallResult(CallOutcome.ANSWERED, load=full))
+        loaded = messages.Load(running=8, queued=30, capacity=8, age_ms=0, request_ms=100.0)
+        bench.targets.end("t1", CallResult(CallOutcome.ANSWERED, load=loaded))
         counted = bench.chosen()
         assert counted["t2"] > 120
         assert counted["t0"] + counted["t1"] < 80
 
 
-async def test_a_target_that_leaves_the_placement_is_forgotten() -> None:
+async def test_a_target_removed_from_the_placement_is_skipped() -> None:
     async with make_bench() as bench:
         del bench.view.placements[SERVICE]["t0"]
         bench.targets.refresh()
@@ -208,12 +208,12 @@
     async with make_bench(130) as bench:
         before = sum(agent.sent for agent in bench.agents)
         await asyncio.sleep(20.0)
-        told_per_s = (sum(agent.sent for agent in bench.agents) - before) / 20
+        sent_per_s = (sum(agent.sent for agent in bench.agents) - before) / 20
         watched = len(bench.targets.heartbeats())
         assert watched == 64
-        assert told_per_s <= 2 * IDLE_HEARTBEATS_PER_S
+        assert sent_per_s <= 2 * IDLE_HEARTBEATS_PER_S
         assert len(bench.targets.candidates(SERVICE)) == watched
 
 
-def test_the_interval_grows_with_the_targets_watched() -> None:
+def test_the_heartbeat_interval_grows_with_the_number_of_targets() -> None:
     assert [idle_interval_ms(count) for count in (8, 49, 128, 704)] == [0, 0, 2000, 14000]
--- a/tests/trials.py
+++ b/tests/trials.py
@@ -1,4 +1,4 @@
-"""Trials of a whole fleet in memory, on virtual time, for scenarios, mutants and state machines."""
+"""Runs of a whole fleet in memory, in virtual time, for scenarios, mutants and state machines."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 
 
 def make_trial(fleet_plan: MemoryPlan | None = None, plan: TrialPlan = SMALL) -> Trial:
-    """Return a trial of a fleet whose every state becomes part of the history."""
+    """Return a trial of a fleet that records each configuration state in the history."""
     fleet = MemoryFleet(fleet_plan or MemoryPlan())
     observed = ObservedFleet(fleet, plan.seed, samples=False)
 
@@ -37,7 +37,7 @@
 def run_story(
     story: Story, fleet_plan: MemoryPlan | None = None, plan: TrialPlan = SMALL
 ) -> Verdict:
-    """Run a trial with a story in its midst, and return the verdict."""
+    """Run a trial with a scenario between its start and its end, and return the verdict."""
 
     configure_log(LogFormat.TEXT, "error")
 
