--- a/src/lacewinggw/agent/bitmaps.py
+++ b/src/lacewinggw/agent/bitmaps.py
@@ -14,7 +14,7 @@
 
 
 def decode_bitmap(bitmap: bytes) -> list[int]:
-    """Return the indexes that a bitmap stands for; some may be beyond the last chunk."""
+    """Return the indexes of the set bits; some may be beyond the last chunk."""
     return [
         at * BITS_PER_BYTE + bit
         for at, byte in enumerate(bitmap)
--- a/src/lacewinggw/agent/chunks.py
+++ b/src/lacewinggw/agent/chunks.py
@@ -1,4 +1,4 @@
-"""Verified chunks in memory, by their hash, so that releases share what they have in common."""
+"""Verified chunks in memory, keyed by hash so that releases share identical chunks."""
 
 import asyncio
 import hashlib
@@ -8,7 +8,7 @@
 
 
 class ChunkStore:
-    """Chunks whose hash holds. Nothing else ever gets in."""
+    """Holds chunks that match their SHA-256; any other data is rejected."""
 
     def __init__(self) -> None:
         self._chunks: dict[bytes, bytes] = {}
@@ -22,7 +22,7 @@
         return self._chunks.get(chunk_hash)
 
     async def put(self, chunk_hash: bytes, data: bytes) -> bool:
-        """Keep a chunk if its hash holds; return whether it does."""
+        """Store a chunk if it matches its hash; return whether it does."""
         if await hash_chunk(data) != chunk_hash:
             return False
         if chunk_hash not in self._chunks:
@@ -31,13 +31,13 @@
         return True
 
     def keep_only(self, hashes: Iterable[bytes]) -> None:
-        """Drop every chunk but these."""
+        """Drop every chunk whose hash is not in `hashes`."""
         for chunk_hash in self._chunks.keys() - set(hashes):
             self.held_bytes -= len(self._chunks.pop(chunk_hash))
 
 
 async def hash_chunk(data: bytes) -> bytes:
-    """Return the SHA-256 of a chunk, letting the loop run between steps."""
+    """Return the SHA-256 of a chunk, yielding to the event loop between steps."""
     digest = hashlib.sha256(data[:HASH_STEP_BYTES])
     for start in range(HASH_STEP_BYTES, len(data), HASH_STEP_BYTES):
         await asyncio.sleep(0)
--- a/src/lacewinggw/agent/downloads.py
+++ b/src/lacewinggw/agent/downloads.py
@@ -1,4 +1,4 @@
-"""Carry out the spread of one release on this host: asks, cancels, checks and announcements."""
+"""Download of one release to this host: requests, cancellations, checks and announcements."""
 
 import asyncio
 import random
@@ -38,25 +38,25 @@
 
 
 class WeightSource(Protocol):
-    """The origin, or the weight store."""
+    """A source of manifests and chunks: the origin or the weight store."""
 
     async def manifest_by_digest(self, digest: Digest) -> messages.Manifest:
         """Return the manifest of a digest."""
 
     async def fetch(self, manifest: messages.Manifest, index: int) -> bytes:
-        """Return the bytes that the source sends for a chunk, unchecked."""
+        """Return the bytes that the source sends for a chunk, without checking their hash."""
 
 
 class LocalChunks(Protocol):
-    """Chunks that lie on this host already, from before this process was started."""
+    """Chunks that were on this host before this process started."""
 
     async def read(self, digest: Digest) -> Mapping[int, bytes]:
-        """Return what may be chunks of a release, by index, unchecked; nothing if in doubt."""
+        """Return possible chunks of a release by index, unchecked; empty if in doubt."""
 
 
 @dataclass
 class Traffic:
-    """Bytes of one release that passed this host, by where they came from or went."""
+    """Bytes of one release received and sent by this host, by source and destination."""
 
     origin_bytes: int = 0
     store_bytes: int = 0
@@ -73,7 +73,10 @@
 
 @dataclass(frozen=True)
 class DownloadContext:
-    """What the downloads of all releases share; `make_spread` builds the policy of one release."""
+    """Dependencies that the downloads of all releases share.
+
+    `make_spread` builds the scheduling policy of one release.
+    """
 
     metrics: Metrics
 
@@ -92,7 +95,7 @@
 
 
 class ReleaseDownload:
-    """One release on its way to this host, from the moment its manifest is known."""
+    """Downloads one release to this host, once its manifest is known."""
 
     def __init__(
         self,
@@ -120,11 +123,11 @@
 
     @property
     def spread(self) -> ChunkScheduler:
-        """The policy's view of the release."""
+        """The scheduling policy of the release, with its state."""
         return self._spread
 
     def close(self) -> None:
-        """Stop: nothing more of this release is asked for."""
+        """Cancel the requests in flight and request no further chunks."""
         self._closed = True
         for (source, index), task in list(self._fetches.items()):
             task.cancel()
@@ -132,13 +135,13 @@
         self._fetches.clear()
 
     def add_shared_chunks(self) -> None:
-        """Count in the chunks that another release brought already."""
+        """Add the chunks that are held because another release shares them."""
         for index, chunk_hash in enumerate(self.manifest.chunk_hashes):
             if chunk_hash in self._context.chunks:
                 self._add_chunk(None, index)
 
     async def add_local_chunks(self, local: LocalChunks) -> None:
-        """Count in the chunks that lie on this host and whose hash holds."""
+        """Add the chunks that were on this host before, if they match their hash."""
         for index, data in (await local.read(self.digest)).items():
             if index >= self._spread.chunk_count or index in self._spread.held:
                 continue
@@ -146,32 +149,32 @@
                 self._add_chunk(None, index)
 
     def set_topology(self, topology: Topology) -> None:
-        """Take a new view of the hosts due the release."""
+        """Set the topology of the hosts that must hold the release."""
         self._spread.set_topology(topology, _now())
         self.advance()
 
     # ---- neighbours -----------------------------------------------------------------------
 
     def request_have_map(self, host: HostId) -> None:
-        """Tell a neighbour what is here, and ask it for the same."""
+        """Send a neighbour the have map of this host and request its own."""
         link = self._context.mesh.link(host)
         if link is not None:
             link.notify(self._full_have_map(wants_reply=True))
 
     def request_missing_have_maps(self, hosts: frozenset[HostId]) -> None:
-        """Greet those of `hosts` that have not said what they hold."""
+        """Request the have map of each of `hosts` that has not sent one."""
         for host in hosts:
             state = self._spread.neighbours.get(host)
             if state is None or not state.has_reported:
                 self.request_have_map(host)
 
     def neighbour_down(self, host: HostId) -> None:
-        """Forget a neighbour whose link is gone."""
+        """Remove a neighbour whose link is closed."""
         self._spread.remove_neighbour(host)
         self.advance()
 
     def handle_have(self, remote: Identity, have: messages.Have) -> None:
-        """Note what a neighbour says it holds."""
+        """Record the chunks that a neighbour reports as held."""
         host = HostId(remote.host)
         self._spread.add_neighbour(host, Place(remote.place), Incarnation(remote.incarnation))
         indexes = decode_bitmap(have.bitmap) if have.bitmap is not None else have.added or []
@@ -182,7 +185,7 @@
         self.advance()
 
     def announce(self) -> None:
-        """Tell the neighbours of the chunks that came since the last time."""
+        """Send the neighbours the chunks added since the last announcement."""
         fresh, self._unannounced = self._unannounced, []
         if not fresh:
             return
@@ -216,7 +219,7 @@
     # ---- chunks ---------------------------------------------------------------------------
 
     def advance(self) -> None:
-        """Carry out whatever is due now."""
+        """Execute the actions that the policy decides on now."""
         if self._closed:
             return
         for action in self._spread.decide(_now()):
@@ -251,14 +254,16 @@
             case Origin():
                 source = self._context.origin
             case Store():
-                assert self._context.store is not None, "the policy knows of no weight store"
+                assert (
+                    self._context.store is not None
+                ), "the policy chose a weight store that does not exist"
                 source = self._context.store
         return await source.fetch(self.manifest, ask.index)
 
     async def _receive_from(self, host: HostId, ask: RequestChunk) -> bytes:
         link = self._context.mesh.link(host)
         if link is None:
-            raise LinkBusy(f"the link to {host} is gone")
+            raise LinkBusy(f"the link to {host} is closed")
         size = self.manifest.chunk_sizes[ask.index]
         call = link.open(messages.FetchChunk(self.digest, ask.index, ask.endgame))
         received = bytearray()
@@ -266,7 +271,9 @@
             async for piece in call.replies():
                 received += piece.data
                 if len(received) > size:
-                    raise CorruptChunk(f"chunk {ask.index} from {host} is too long")
+                    raise CorruptChunk(
+                        f"chunk {ask.index} from {host} is longer than its manifest says"
+                    )
                 self._spread.record_progress(ask.source, ask.index, _now())
         finally:
             call.abandon()
@@ -281,7 +288,7 @@
         self._spread.record_failure(source, index, failure, _now())
 
     def _add_chunk(self, source: Source | None, index: int) -> None:
-        """Count in a verified chunk, wherever in the release its bytes occur."""
+        """Add a verified chunk at every index of the release that has the same hash."""
         wanted = self.manifest.chunk_hashes[index]
         for each, chunk_hash in enumerate(self.manifest.chunk_hashes):
             if chunk_hash != wanted or each in self._spread.held:
@@ -335,7 +342,7 @@
     # ---- report ---------------------------------------------------------------------------
 
     def report(self) -> messages.SpreadReport:
-        """Return what is to be told of this release on this host."""
+        """Return the progress of this release on this host."""
         end = self._ended_at if self._ended_at is not None else _now()
         elapsed = max(end - self._started_at, 1e-3)
         return messages.SpreadReport(
@@ -362,7 +369,7 @@
         first = ", ".join(str(index) for index in missing[:MISSING_CHUNKS_LISTED])
         failures = self._spread.source_failures
         reason = (
-            f"{len(missing)} chunks of {self.manifest.name} that no host has, first {first}; "
+            f"{len(missing)} chunks of {self.manifest.name} are held by no host, first {first}; "
             f"the origin and the weight store failed {failures} times"
         )
         return str(NoSource(reason))
--- a/src/lacewinggw/agent/executor.py
+++ b/src/lacewinggw/agent/executor.py
@@ -1,4 +1,4 @@
-"""Runs on the target: a bounded queue, a bounded number at once, and each carried out once."""
+"""Execution of runs on the target: bounded queue, bounded concurrency, each run at most once."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 
-READ_TIMEOUT_S = 60.0  # between two pieces of a run that may not be cut
+READ_TIMEOUT_S = 60.0  # between two pieces of a run that must not be interrupted
 PLAIN_PIECE_BYTES = 256 << 10
 NOT_SERVING_RETRY_MS = 500
 
@@ -34,11 +34,11 @@
 
 
 class Executor:
-    """Carries out runs on the target, in the order that its queue gives.
+    """Executes runs on the target in the order of its queue.
 
-    `on_first_piece` is told how long each run waited for its first piece, in seconds, `on_bytes` of
-    the bytes that come. `quiesce` stops the start of further runs and waits for those that run;
-    `resume` goes on with the queue.
+    `on_first_piece` is called with the seconds that a run waited for its first piece, `on_bytes`
+    with the number of bytes received. `quiesce` stops starting runs and waits for those that run;
+    `resume` continues with the queue.
     """
 
     def __init__(
@@ -67,37 +67,37 @@
         self._idle.set()
 
     def load(self) -> Load:
-        """Return how much there is to do here, as of now."""
+        """Return the current load."""
         return self._queue.load()
 
     def check_capacity(self, head: RequestHead, deadline: float) -> None:
-        """Raise the refusal that a request would meet in the queue now."""
+        """Raise `RequestRefused` if the queue would refuse the request now."""
         refused = self._queue.check(head, deadline, asyncio.get_running_loop().time())
         if refused is not None:
             raise refused.error()
 
     def submit(self, run: Run) -> None:
-        """Queue or start a run that the book has taken."""
+        """Start or queue a run that the run book has accepted."""
         now = asyncio.get_running_loop().time()
         refused = self._queue.push(run.head, run, run.deadline, now)
         if refused is not None:
             self._handle_refusal(run, refused)
 
     def withdraw(self, run: Run) -> None:
-        """Take a run off the queue, if it is still there."""
+        """Remove a run from the queue, if it still waits there."""
         if self._queue.remove(run):
             self._reject(run, Withdrawn("withdrawn before it started"))
 
     def cancel(self, run: Run) -> None:
-        """Give up a run that nobody listens to any more."""
+        """Cancel a run that has no listeners left."""
         self.withdraw(run)
         task = self._tasks.get(run)
         if task is not None:
-            run.fail(TargetFailed("cancelled: nobody listens any more"))
+            run.fail(TargetFailed("cancelled: no listeners left"))
             task.cancel()
 
     async def quiesce(self) -> None:
-        """Start nothing more, and wait until nothing runs."""
+        """Stop starting runs, and wait until none is running."""
         self._queue.pause()
         await self._idle.wait()
 
@@ -106,7 +106,7 @@
         self._queue.resume()
 
     async def close(self) -> None:
-        """Refuse what waits and cut what runs."""
+        """Refuse the waiting runs and cancel the running ones."""
         self._queue.close()
         tasks = list(self._tasks.values())
         for task in tasks:
@@ -118,7 +118,7 @@
         self._reject(run, refused.error())
 
     def _reject(self, run: Run, error: LacewingError) -> None:
-        """End a run that did not start and never will."""
+        """Fail a run that has not started, and record that it never will."""
         self._book.refuse(run.id, asyncio.get_running_loop().time())
         run.fail(error)
         self._on_ended(run)
@@ -131,9 +131,9 @@
 
     def _find_obstacle(self, run: Run) -> LacewingError | None:
         if not self._target_status.serving:
-            return NoTarget("the target does not serve now", retry_after_ms=NOT_SERVING_RETRY_MS)
+            return NoTarget("the target is not serving", retry_after_ms=NOT_SERVING_RETRY_MS)
         if run.head.digest and run.head.digest != self._target_status.active_digest:
-            return ReleaseMoved("the target has moved to other weights")
+            return ReleaseMoved("the target has switched to other weights")
         return None
 
     async def _execute(self, run: Run) -> None:
@@ -148,7 +148,7 @@
         except LacewingError as error:
             self._record_failure(run, error)
         except asyncio.CancelledError:
-            self._record_failure(run, TargetFailed("cut off: the agent is closing"))
+            self._record_failure(run, TargetFailed("interrupted: the agent is closing"))
         except Exception as error:
             log.exception("run_failed", request_id=run.head.request_id)
             self._record_failure(run, TargetFailed(f"the run failed: {error!r}"))
@@ -156,7 +156,7 @@
             timer.cancel()
 
     def _release_slot(self, run: Run) -> None:
-        """Free the slot of a run that is over, even one cancelled before its first step."""
+        """Free the slot of an ended run, even one cancelled before its task first ran."""
         del self._tasks[run]
         if not self._tasks:
             self._idle.set()
@@ -167,7 +167,7 @@
         self._queue.done(run, run.ran_s)
 
     def _mark_started(self, run: Run) -> None:
-        """Note that the run starts; raise what bars it."""
+        """Record that the run starts; raise the error that prevents it, if any."""
         refusal = self._find_obstacle(run)
         if refusal is not None:
             raise refusal
@@ -184,10 +184,10 @@
         run.fail(error)
 
     def _handle_deadline(self, run: Run) -> None:
-        """Stop an idempotent run at its deadline; any other runs on to its end."""
+        """Cancel a repeatable run at its deadline; any other run continues to its end."""
         task = self._tasks.get(run)
         if task is not None and run.head.repeatable:
-            run.fail(DeadlinePassed("the deadline passed while it ran"))
+            run.fail(DeadlinePassed("the deadline passed during the run"))
             task.cancel()
 
     async def _run_on_target(self, run: Run) -> Finish:
@@ -198,7 +198,7 @@
                 return await self._call(run)
 
     async def _generate(self, run: Run) -> Finish:
-        """Run it on the engine; raise unless the same weights were active from start to end."""
+        """Run on the engine; raise unless the same weights were active from start to end."""
         head = run.head
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
@@ -221,13 +221,15 @@
                     case AnswerEnd():
                         end = item
         if end is None or end.pieces != run.first_index + len(run.pieces):
-            raise AnswerIncomplete("the engine's answer has another number of pieces than told")
+            raise AnswerIncomplete(
+                "the number of pieces differs from the one in the engine's end event"
+            )
         if end.weights != weights or self._target_status.active_digest != weights:
-            raise AnswerIncomplete("the weights changed while the engine answered")
+            raise AnswerIncomplete("the weights changed during the engine's answer")
         return self._finish(run, weights)
 
     async def _call(self, run: Run) -> Finish:
-        assert self._plain is not None, "a plain target has a plain client"
+        assert self._plain is not None, "a plain target needs a plain client"
         head = run.head
         call = PlainCall(
             RequestId(head.request_id),
--- a/src/lacewinggw/agent/failures.py
+++ b/src/lacewinggw/agent/failures.py
@@ -1,4 +1,4 @@
-"""What a failed chunk means for its source, and how it is counted."""
+"""Classification of failed chunk requests, and the reason their retries are counted under."""
 
 from lacewinggw.decisions.chunksources import FetchFailure, Neighbour, Source
 from lacewinggw.errors import (
@@ -13,7 +13,7 @@
 
 
 def classify_failure(error: LacewingError) -> FetchFailure:
-    """Return what an error means for the source that a chunk was asked of."""
+    """Return which kind of failure of a chunk's source an error is."""
     match error:
         case CorruptChunk():
             return FetchFailure.CORRUPT
@@ -28,7 +28,7 @@
 
 
 def retry_reason(source: Source, failure: FetchFailure) -> RetryReason:
-    """Return the reason by which a chunk that is asked for again is counted."""
+    """Return the reason under which the retry of a chunk is counted."""
     match failure:
         case FetchFailure.CORRUPT:
             return RetryReason.CHUNK_CORRUPT
--- a/src/lacewinggw/agent/follower.py
+++ b/src/lacewinggw/agent/follower.py
@@ -1,7 +1,7 @@
-"""The configuration as an agent keeps it, heard from two entries.
+"""The agent's copy of the configuration, received from two entries.
 
-An agent never reads the store: a restart of thousands of agents costs the store nothing. It starts
-from the higher of two entries' configurations, and applies only rising revisions.
+An agent never reads the store, so a restart of thousands of agents does not load it. It starts from
+the newer of two entries' configurations, then applies only increasing revisions.
 """
 
 import asyncio
@@ -31,9 +31,9 @@
 
 
 class ConfigurationFollower(ReplicaHolder):
-    """One agent's copy of the configuration.
+    """Keeps an agent's copy of the configuration up to date.
 
-    follower = Follower.from_config(settings, node, entries, metrics)
+    follower = ConfigurationFollower.from_config(settings, node, entries, metrics)
     await follower.start()
     follower.state.assignments_of(host)
     """
@@ -64,21 +64,21 @@
         metrics: Metrics,
         rng: random.Random | None = None,
     ) -> "ConfigurationFollower":
-        """Return the follower of an agent; `entries` gives all entries as now listed."""
+        """Build the follower of an agent; `entries` returns the entries listed now."""
         return cls(settings, node, entries, metrics, rng or random.Random())
 
     @property
     def is_current(self) -> bool:
-        """Whether an entry confirmed a moment ago that this is the newest configuration.
+        """Whether an entry recently confirmed that this is the newest configuration.
 
-        False after the process was paused, until an entry has answered again: what is known here
-        may have been replaced meanwhile, so no order may be given by it.
+        False after the process was paused, until an entry answers again: the configuration may have
+        been replaced meanwhile, so no order may be based on it.
         """
         now = asyncio.get_running_loop().time()
         return now - self._upstreams.confirmed_at < MAX_CONFIRMATION_AGE_POLLS * self._poll_s()
 
     async def start(self) -> None:
-        """Get a configuration from entries, then follow them. Returns once there is one."""
+        """Fetch a configuration from entries, retrying until there is one, then follow them."""
         while not await self._bootstrap():  # noqa: ASYNC110
             await asyncio.sleep(self._poll_s() * self._rng.uniform(0.2, 1.0))
         self._replica.set_ready()
--- a/src/lacewinggw/agent/heartbeats.py
+++ b/src/lacewinggw/agent/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats from an agent to the entries that watch it: on change, and when idle."""
+"""Heartbeats from an agent to the entries that watch it: on change, and at an interval."""
 
 import asyncio
 import itertools
@@ -19,17 +19,17 @@
 
 @dataclass
 class _Watcher:
-    """When one link is due its next heartbeat."""
+    """Interval and next due time of the heartbeats on one link."""
 
     interval_s: float
     due_at: float
 
 
 class HeartbeatSender:
-    """Send heartbeats over each link on which an entry asked to watch this agent.
+    """Sends heartbeats over each link on which an entry asked to watch this agent.
 
-    A change is told to all at once, though changes that come together leave in one heartbeat; in
-    between each watcher hears at the interval that it asked for.
+    A change is sent to all watchers at once; changes in quick succession share one heartbeat.
+    Without changes, each watcher receives heartbeats at the interval that it asked for.
     """
 
     def __init__(self, compose: Compose, interval_s: float) -> None:
@@ -41,7 +41,7 @@
         self._loop = Background("heartbeats", self._run)
 
     async def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -49,7 +49,7 @@
         await self._loop.close()
 
     def handle_watch(self, link: PeerLink, watch: Watch) -> None:
-        """Send heartbeats over `link` as its entry asks from now on, one at once, or stop."""
+        """Start or stop heartbeats over `link` as its entry asks; send the first at once."""
         if watch.stop:
             self._watchers.pop(link, None)
             return
@@ -58,7 +58,7 @@
         link.notify(self._compose(next(self._numbers)))
 
     def note_change(self) -> None:
-        """Send a heartbeat soon: what it tells has changed."""
+        """Schedule a heartbeat because its content has changed."""
         self._changed.set()
 
     def _now(self) -> float:
--- a/src/lacewinggw/agent/manifests.py
+++ b/src/lacewinggw/agent/manifests.py
@@ -1,4 +1,4 @@
-"""Find the manifest of a release: from the neighbours, or from the origin."""
+"""Lookup of the manifest of a release, at the neighbours or at the origin."""
 
 import asyncio
 import hashlib
@@ -18,10 +18,10 @@
 
 
 class ManifestFinder:
-    """Ask a neighbour that says it has the manifest, else the origin when it is this host's turn.
+    """Fetches manifests from neighbours that announced them, or from the origin.
 
-    Hosts that are not first at the origin go there only after `ORIGIN_AFTER_S` to twice that. A
-    manifest counts only when `check` returns it; usually, when its chunk hashes give the digest.
+    Hosts that are not first at the origin wait `ORIGIN_DELAY_S` to twice that before they ask it. A
+    manifest is accepted only if `check` returns it; usually, if its chunk hashes give the digest.
     """
 
     def __init__(self, origin: WeightSource, rng: random.Random, check: "CheckManifest") -> None:
@@ -32,7 +32,7 @@
         self._holders: dict[Digest, asyncio.Queue[PeerLink]] = {}
 
     def add_holder(self, digest: Digest, link: PeerLink) -> None:
-        """Note that the other side of a link has the manifest of a digest that is looked for."""
+        """Record that the peer of a link has the manifest of a digest being looked up."""
         holders = self._holders.get(digest)
         if holders is not None:
             holders.put_nowait(link)
@@ -40,7 +40,7 @@
     async def find(
         self, digest: Digest, is_first_at_origin: Callable[[], bool]
     ) -> messages.Manifest:
-        """Return the manifest of `digest`, however long it takes."""
+        """Return the manifest of `digest`, retrying until one is found."""
         self._holders[digest] = asyncio.Queue()
         try:
             return await self._find(digest, is_first_at_origin)
@@ -81,18 +81,19 @@
 
 
 def check_named_manifest(manifest: messages.Manifest, digest: Digest) -> messages.Manifest:
-    """Return a manifest that says itself which release it is of, where a release is a name.
+    """Return a manifest whose digest field is `digest`; otherwise raise `ManifestMismatch`.
 
-    Its chunk hashes are what its operators' origin gave to one of this fleet's processes.
+    This is for fleets where a release is identified by name. The chunk hashes are those that the
+    operators' origin gave to one of this fleet's processes.
     """
     if manifest.digest != digest or len(manifest.chunk_sizes) != len(manifest.chunk_hashes):
-        raise ManifestMismatch(f"a manifest of {manifest.digest} was given for {digest}")
+        raise ManifestMismatch(f"received a manifest of {manifest.digest} instead of {digest}")
     return manifest
 
 
 def check_manifest(manifest: messages.Manifest, digest: Digest) -> messages.Manifest:
-    """Return a manifest whose hashes give the digest; raise `ManifestMismatch` for another."""
+    """Return a manifest whose hashes give the digest; otherwise raise `ManifestMismatch`."""
     found = hashlib.sha256(b"".join(manifest.chunk_hashes)).hexdigest()
     if found != digest or len(manifest.chunk_sizes) != len(manifest.chunk_hashes):
-        raise ManifestMismatch(f"a manifest with {found} was given for {digest}")
+        raise ManifestMismatch(f"received a manifest of {found} instead of {digest}")
     return manifest
--- a/src/lacewinggw/agent/mesh.py
+++ b/src/lacewinggw/agent/mesh.py
@@ -1,4 +1,4 @@
-"""Connections to the hosts with which weights are exchanged."""
+"""Links to the hosts with which weights are exchanged."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -15,11 +15,11 @@
 
 
 class Mesh:
-    """One link per wanted host, whichever side opened it.
+    """Keeps one link per wanted host, whichever side opened it.
 
-    Of two hosts that want each other the one whose id sorts first dials; the other waits
+    Of two hosts that want a link, the one whose id sorts first dials at once; the other waits
     `DIAL_GRACE_S` seconds and then dials too. A host that cannot be reached, or whose link broke,
-    is suspect for `SUSPECT_S` seconds unless it comes back sooner.
+    is suspect for `SUSPECT_S` seconds unless it reconnects sooner.
     """
 
     def __init__(self, node: PeerNode, on_up: OnHost, on_down: OnHost) -> None:
@@ -35,7 +35,7 @@
 
     @property
     def suspects(self) -> frozenset[HostId]:
-        """Hosts that did not answer lately."""
+        """Hosts that could not be reached recently, or whose link broke."""
         now = asyncio.get_running_loop().time()
         return frozenset(host for host, until in self._suspect_until.items() if until > now)
 
@@ -45,7 +45,7 @@
         return [link for _, link in sorted(self._links.items()) if not link.closed.is_set()]
 
     def close(self) -> None:
-        """Stop dialling; links belong to the node."""
+        """Stop dialling; the node closes the links."""
         for task in [*self._dialling.values(), *self._watchers]:
             task.cancel()
 
@@ -55,20 +55,20 @@
         return link if link is not None and not link.closed.is_set() else None
 
     def set_addresses(self, addresses: Mapping[HostId, Address]) -> None:
-        """Take the addresses of all live hosts."""
+        """Set the addresses of all live hosts; a host with a new one is no longer suspect."""
         for host, address in addresses.items():
             if self._addresses.get(host) != address:
                 self._suspect_until.pop(host, None)
         self._addresses = addresses
 
     def set_wanted_hosts(self, hosts: Iterable[HostId]) -> None:
-        """Keep links to these hosts from now on."""
+        """Set the hosts to keep links to, and dial them."""
         now = asyncio.get_running_loop().time()
         self._wanted = {host: self._wanted.get(host, now) for host in hosts}
         self.dial()
 
     def dial(self) -> None:
-        """Open the links that are wanted and missing, where it is this side's turn."""
+        """Dial the wanted hosts without a link, except those that are to dial first."""
         now = asyncio.get_running_loop().time()
         me = self._node.identity.host
         for host, since in self._wanted.items():
@@ -82,7 +82,7 @@
             self._dialling[host] = task
 
     def register(self, link: PeerLink) -> None:
-        """Take a link over which a host began to exchange weights."""
+        """Add a link over which a host began to exchange weights."""
         host = HostId(link.remote.host)
         known = self.link(host)
         if known is link:
--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent process: wires the weights, the target and the requests on one host together."""
+"""The agent process, which combines weights, target and requests on one host."""
 
 import random
 from collections.abc import Sequence
@@ -37,10 +37,10 @@
 
 
 def desired_state(state: FleetState, host: str) -> DesiredState | None:
-    """Return what the configuration wants of the target on `host`.
+    """Return the desired state of the target on `host`, or None if it is to run nothing.
 
-    A drained host is wanted for nothing at once, even while the entry that takes its replicas away
-    has still to come, as when the platform's table is down.
+    A draining host gets None at once, even before the log entry that removes its replicas arrives,
+    for example while the platform's table is unavailable.
     """
     if host in state.draining:
         return None
@@ -60,7 +60,7 @@
 
 
 def due_releases(state: FleetState, host: str) -> dict[Digest, DueRelease]:
-    """Return the releases that `host` is to hold, with the other hosts due each."""
+    """Return the releases that `host` must hold, each with all the hosts that must hold it."""
     due: dict[Digest, DueRelease] = {}
     for service, current in state.assignments_of(host):
         prefer = messages.Prefer(state.services[service].prefer)
@@ -73,7 +73,7 @@
 
 
 def hosts_due(state: FleetState, service: str, release: str) -> tuple[HostId, ...]:
-    """Return the hosts of a service that are to hold a release, now or for their next turn."""
+    """Return the hosts of a service that must hold a release, as their current or next one."""
     named = (state.hosts_of(service), state.next_releases_of(service))
     return tuple(
         HostId(host)
@@ -149,7 +149,7 @@
         pages = HealthPages(Health(self.metrics, self._readiness))
         self._operator_server = HttpServer(network, agent.operator_listen, pages.handle)
         self.draining = False
-        self._listed_as_leaving = False  # the only reason for a drain that may end again
+        self._listed_as_leaving = False  # only a drain for this reason can be undone
 
     @classmethod
     def from_config(
@@ -158,11 +158,11 @@
         network: Network | None = None,
         rng: random.Random | None = None,
     ) -> "AgentProcess":
-        """Build an agent from its settings, on sockets unless another network is given."""
+        """Build an agent from its settings, with TCP unless another network is given."""
         return cls(settings, network or TcpNetwork(), rng or random.SystemRandom())
 
     async def start(self) -> None:
-        """Listen, learn the hosts and the configuration, and begin to follow them."""
+        """Listen, fetch the member list and the configuration, and start following them."""
         await self.node.start(self._settings.agent.peer_listen)
         await self._operator_server.start()
         self.watch.on_change(self._on_members)
@@ -177,7 +177,7 @@
         log.info("agent_started", address=self.node.address)
 
     async def drain(self) -> None:
-        """Refuse new requests, let those in progress end, and hand on what others still fetch."""
+        """Refuse new requests and wait for those in progress; uploads to other hosts continue."""
         self._listed_as_leaving = False
         self.begin_drain()
         limit_s = self._settings.agent.drain_limit_ms / MS_PER_S
@@ -185,7 +185,7 @@
         log.info("agent_drained")
 
     def begin_drain(self) -> None:
-        """Refuse new requests from now on."""
+        """Start refusing new requests."""
         if self.draining:
             return
         self.draining = True
@@ -194,7 +194,7 @@
         log.info("agent_draining")
 
     def _end_drain(self) -> None:
-        """Take requests again: the list, which lags, told of this host's predecessor."""
+        """Accept requests again: the lagging list showed this host's previous incarnation."""
         self._listed_as_leaving = False
         self.draining = False
         self.requests.end_drain()
@@ -207,7 +207,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """End everything; nothing is left pending."""
+        """Stop everything; no task is left pending."""
         await self.reconciler.close()
         await self.follower.close()
         await self.heartbeats.close()
@@ -241,7 +241,7 @@
         return next((member for member in members if member.host == host), None)
 
     def _on_changes(self, state: FleetState, entries: Sequence[messages.LogEntry]) -> None:
-        """Follow only what can concern this host: most changes are about other services."""
+        """Apply only changes that can concern this host: most are about other services."""
         own = {service for service, _ in state.assignments_of(self._settings.process.host)}
         if may_change_placements(entries) or declares_any(entries, own):
             self._apply_state(state)
@@ -286,7 +286,7 @@
                 self.heartbeats.handle_watch(exchange.link, watch)
             case _:
                 kind = type(exchange.message).__name__
-                raise UnsupportedMessage(f"an agent does not take {kind}")
+                raise UnsupportedMessage(f"an agent does not handle {kind}")
 
     async def _handle_request(self, exchange: Exchange) -> None:
         try:
--- a/src/lacewinggw/agent/queue.py
+++ b/src/lacewinggw/agent/queue.py
@@ -1,12 +1,12 @@
-"""The queue before a target: who runs next, who waits, and who is told at once to come back.
+"""The queue of a target: which request runs next, which waits, and which is refused at once.
 
-The owner of the queue gives two functions: one that starts a request, one that is told of a
-request that was dropped from the queue and will not run.
+The owner of the queue passes two functions: one that starts a request, and one that is called with
+a request that was dropped from the queue and will not run.
 
-    queue = RequestQueue.from_config(settings, metrics, start, dropped)
+    queue = TargetQueue.from_config(settings, metrics, start, on_dropped)
     refused = queue.push(head, run, deadline, now)  # may start it, or drop another for it
     ...
-    queue.done(run, ran_s)                          # it ended: the next one starts
+    queue.done(run, ran_s)                          # frees its slot and starts the next one
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class QueueRefusal:
-    """The request does not run; `retry_after_ms` is when to come back."""
+    """The reason why a request will not run, and when to retry it."""
 
     reason: Refusal
     retry_after_ms: int
@@ -40,16 +40,16 @@
         """Return the refusal as an error."""
         match self.reason:
             case Refusal.DEADLINE:
-                said = "the request would not be done by its deadline"
+                said = "the request would not finish by its deadline"
             case Refusal.DRAINING:
-                said = "the target is leaving"
+                said = "the target is draining"
             case _:
-                said = "the queue before the target is full"
+                said = "the queue of the target is full"
         return RequestRefused.because(self.reason, said, self.retry_after_ms)
 
 
 class TargetQueue(Generic[Payload]):
-    """The queue of one target, with its slots. Times are the loop's, in seconds."""
+    """The queue and the slots of one target. Times are event loop times, in seconds."""
 
     def __init__(
         self,
@@ -77,22 +77,22 @@
         start: Callable[[Payload], None],
         on_dropped: Callable[[Payload, QueueRefusal], None],
     ) -> "TargetQueue[Payload]":
-        """Build the queue as [agent] and [routing] say."""
+        """Build the queue from the [agent] and [routing] settings."""
         slots = Slots(settings.agent.concurrency, settings.routing.urgent_percent / PERCENT)
         return cls(slots, settings.agent.queue_length, metrics, start, on_dropped)
 
     @property
     def running(self) -> int:
-        """How many requests run."""
+        """The number of running requests."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """The number of waiting requests."""
         return len(self._waiting)
 
     def load(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         return Load(
             running=len(self._running),
             queued=len(self._waiting),
@@ -104,7 +104,7 @@
         )
 
     def check(self, head: RequestHead, deadline: float, now: float) -> QueueRefusal | None:
-        """Return why a request would be refused now, or none when it would be taken."""
+        """Return why a request would be refused now, or None if it would be accepted."""
         item = self._make_item(head, None, deadline, now)
         ahead = self._queue.count_ahead(item)
         wait_s = 0.0 if self._can_start(item.priority, now) else self._slots.expected_wait(ahead)
@@ -117,9 +117,9 @@
     def push(
         self, head: RequestHead, payload: Payload, deadline: float, now: float
     ) -> QueueRefusal | None:
-        """Start a request or let it wait; return why, when it is refused.
+        """Start or queue a request; return the refusal, or None if it is accepted.
 
-        Another request may be dropped to make room, as `FairQueue` says.
+        Another request may be dropped in its place, as `FairQueue` decides.
         """
         refused = self.check(head, deadline, now)
         if refused is not None:
@@ -136,7 +136,7 @@
         return None
 
     def remove(self, payload: Payload) -> bool:
-        """Take a request out of the queue; return False when it does not wait there."""
+        """Remove a request from the queue; return False if it does not wait there."""
         item = self._waiting.pop(payload, None)
         if item is None:
             return False
@@ -146,13 +146,13 @@
     def done(self, payload: Payload, ran_s: float | None) -> None:
         """Free the slot of a request that ended after `ran_s` seconds on the target.
 
-        `ran_s` is none when the time says nothing of the target, as for a request that was cut.
+        `ran_s` is None if the time says nothing about the target, as for an interrupted request.
         """
         self._slots.end(self._running.pop(payload), ran_s)
         self._start_waiting(asyncio.get_running_loop().time())
 
     def pause(self) -> None:
-        """Start nothing until `resume`."""
+        """Stop starting requests until `resume`."""
         self._paused = True
 
     def resume(self) -> None:
@@ -161,13 +161,13 @@
         self._start_waiting(asyncio.get_running_loop().time())
 
     def drop_all(self, reason: Refusal) -> None:
-        """Drop every request that waits."""
+        """Drop every waiting request."""
         for item in list(self._waiting.values()):
             self._queue.remove(item)
             self._drop(item, reason)
 
     def close(self) -> None:
-        """Drop every request that waits, and stop the timer."""
+        """Drop every waiting request, and cancel the expiry timer."""
         self._paused = True
         self.drop_all(Refusal.DRAINING)
         if self._expiry_timer is not None:
--- a/src/lacewinggw/agent/reconciler.py
+++ b/src/lacewinggw/agent/reconciler.py
@@ -1,7 +1,8 @@
-"""Bring the target to the release that the configuration names, and keep it there.
+"""Reconciliation of the target with the release that the configuration names.
 
-The decision is `decisions.lifecycle.next_step`; this carries it out: chunks to the target, orders
-with the revision as fencing number, and a read-back after each order and at every interval.
+`decisions.lifecycle.next_step` makes the decisions. This module executes them: it stages chunks,
+gives orders with the revision as fencing token, and reads the target's state back after each order
+and at every interval.
 """
 
 import asyncio
@@ -53,11 +54,11 @@
 
 
 class TargetReconciler:
-    """One target and the loop that follows what is wanted of it.
+    """Runs the reconciliation loop of one target.
 
-    Orders are given only while `is_current` says that the configuration is the newest, so that a
-    process that was paused gives none by an old one. `on_change` is called whenever what a
-    heartbeat tells of the target has changed.
+    Orders are given only while `is_current` confirms that the configuration is the newest, so that
+    a process that was paused gives none based on an old one. `on_change` is called whenever the
+    state of the target that heartbeats report has changed.
     """
 
     def __init__(
@@ -89,15 +90,15 @@
         self._loop = Background("target", self._run)
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start the loop."""
         self._loop.start()
 
     async def close(self) -> None:
-        """Stop following; the target stays as it is."""
+        """Stop the loop; the target stays as it is."""
         await self._loop.close()
 
     def wake(self) -> None:
-        """Decide again soon: the configuration or the weights have moved."""
+        """Decide again soon because the configuration or the weights have changed."""
         self._wake.set()
 
     async def _run(self) -> None:
@@ -109,7 +110,7 @@
                     await self._wake.wait()
 
     async def _advance(self) -> float:
-        """Take one step; return the seconds to wait before the next unless woken."""
+        """Execute one step; return the seconds to wait before the next unless woken."""
         wanted = self._wanted()
         try:
             step = next_step(wanted, await self._observe(wanted))
@@ -124,13 +125,13 @@
             return RETRY_INTERVAL_S
 
     def _pause_after(self, step: Step) -> float:
-        """Return the seconds to wait when an order was carried out and changed nothing."""
+        """Return the seconds to wait, above 0 when an executed order changed nothing."""
         repeated = step == self._last_step and not isinstance(step, Stage)
         self._last_step = step
         return RETRY_INTERVAL_S if repeated else 0.0
 
     def _set_failure(self, error: LacewingError) -> None:
-        """A target that answers and serves goes on, whatever holds its next release up."""
+        """Record an error; a target that answers and serves continues with its present release."""
         if isinstance(error, TargetUnreachable) or not self._target_status.serving:
             self._set_state(TargetState.FAILED, str(error))
         else:
@@ -165,7 +166,7 @@
         return True
 
     def _update_active(self, active: str) -> None:
-        """Note what the target runs; when it is not what was thought, stop offering it requests."""
+        """Record the target's active digest; stop offering requests if it is unexpected."""
         if active == self._target_status.active_digest:
             return
         self._target_status.serving = False
@@ -227,10 +228,10 @@
             await self._check_fence(fence)
 
     async def _check_fence(self, fence: int) -> None:
-        """Tell when a target that is said to check fences does not keep them.
+        """Warn when a target that should check fences by its settings does not keep them.
 
-        Orders are safe without, since the agent gives none by an old configuration; but whoever set
-        `target_fences` counts on a second guard that is not there.
+        Orders are safe without fences, since the agent gives none based on an old configuration;
+        but an operator who sets `target_fences` relies on a second safeguard that is missing.
         """
         state = await self._engine.state()
         if state.fence < fence:
@@ -239,11 +240,11 @@
                 "target_fence_unkept",
                 fence=fence,
                 reported=state.fence,
-                remedy="set `target_fences = no` in [agent], or see to the target",
+                remedy="set `target_fences = no` in [agent], or correct the target",
             )
 
     async def _activate(self, wanted: DesiredState, digest: Digest) -> None:
-        """Swap: no request may see two digests, so those on the old one end first."""
+        """Switch weights after all requests on the old ones end: none may see two digests."""
         self._target_status.serving = False
         self._set_state(TargetState.LOADING, "")
         await self._requests.quiesce()
@@ -258,7 +259,7 @@
             self._requests.resume()
 
     async def _change_role_and_adapters(self, step: Reconfigure) -> None:
-        """Change role and adapters while no request runs that could see the change half done."""
+        """Change role and adapters while no request runs, so that none sees a partial change."""
         await self._requests.quiesce()
         try:
             if step.role:
--- a/src/lacewinggw/agent/requests.py
+++ b/src/lacewinggw/agent/requests.py
@@ -1,7 +1,7 @@
-"""Requests as an agent takes them: offered, reserved, started, withdrawn.
+"""Request handling of the agent: offer, reserve, start and withdraw.
 
-The agent is the final arbiter of whether a request runs. It answers "not run" only for what it
-bars from ever running, and "unknown" for what it may have forgotten.
+The agent is the final arbiter of whether a request runs. It answers "not run" only for requests
+that it prevents from ever running, and "unknown" for those that it may have forgotten.
 """
 
 import asyncio
@@ -46,17 +46,17 @@
 NOT_SERVING_RETRY_MS = 500
 MAX_RESERVATIONS = 10_000
 RESERVATION_POLL_S = 0.1
-MIN_DRAIN_S = 1.0  # until every entry has heard that the target leaves
+MIN_DRAIN_S = 1.0  # until every entry has been notified that the target is draining
 
 
 class RequestService:
-    """The agent's side of every request.
+    """Handles the messages of all requests at the agent.
 
-    service = RequestService.from_config(settings, gate, engine, identity, metrics, rng)
+    service = RequestService.from_config(settings, target_status, engine, identity, metrics, rng)
     await service.start()
     await service.handle(exchange)  # Offer, Reserve, Start, Withdraw
     service.begin_drain()
-    await service.drained(60.0)
+    await service.wait_drained(60.0)
     await service.close()
     """
 
@@ -104,36 +104,36 @@
     def set_live_callbacks(
         self, on_first_piece: Callable[[float], None], on_bytes: Callable[[int], None]
     ) -> None:
-        """Have each run's wait for its first piece, and the bytes that come, told on."""
+        """Set the callbacks for each run's wait for its first piece, and for bytes received."""
         self._executor.on_first_piece = on_first_piece
         self._executor.on_bytes = on_bytes
 
     async def start(self) -> None:
-        """Do nothing: requests come by `handle`."""
+        """Do nothing: requests arrive through `handle`."""
 
     async def close(self) -> None:
-        """Refuse what waits and cut what runs."""
+        """Refuse the waiting runs and cancel the running ones."""
         self._draining = True
         await self._executor.close()
 
     def load(self) -> messages.Load:
-        """Return how much there is to do here, as of now."""
+        """Return the current load."""
         return self._executor.load()
 
     def begin_drain(self) -> None:
-        """Refuse new requests from now on; those taken before go on."""
+        """Start refusing new requests; those accepted before continue."""
         self._draining = True
 
     def end_drain(self) -> None:
-        """Take new requests again."""
+        """Accept new requests again."""
         self._draining = False
 
     async def wait_drained(self, limit_s: float) -> bool:
         """Wait until no request waits, runs or has parts of its answer still to be sent.
 
-        It takes `LINGER_S` at least, in which offers already on their way are refused and not lost,
-        and until open reservations lapse: only this process can prove that they never started.
-        Returns False when `limit_s` seconds were too few.
+        It takes at least `MIN_DRAIN_S`, in which offers already in transit are refused instead of
+        lost. It also waits until open reservations lapse, because only this process can prove that
+        they never started. Return False if `limit_s` seconds were too few.
         """
         try:
             async with asyncio.timeout(limit_s):
@@ -146,7 +146,7 @@
         return True
 
     async def quiesce(self) -> None:
-        """Start no request, and wait until none runs; those that wait go on waiting."""
+        """Stop starting requests, and wait until none is running; queued ones stay queued."""
         await self._executor.quiesce()
 
     def resume(self) -> None:
@@ -154,7 +154,7 @@
         self._executor.resume()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one message about a request."""
+        """Handle one message about a request."""
         match exchange.message:
             case messages.Offer(head=head, body=body, nonce=nonce):
                 await self._answer(exchange, head, body or b"", nonce or "")
@@ -166,7 +166,7 @@
                 exchange.finish(self._withdraw(withdraw))
             case other:
                 kind = type(other).__name__
-                raise ProtocolViolation(f"{kind} is no message about a request")
+                raise ProtocolViolation(f"{kind} is not a message about a request")
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -218,13 +218,13 @@
             self._check_all_done()
 
     def _admit(self, head: messages.RequestHead, body: bytes, nonce: str) -> Run:
-        """Return the run to listen to: a new one, or the one that there is by that name."""
+        """Return the run to listen to: the existing one with that id, or a new one."""
         name = run_id(nonce, head.request_id, head.attempt)
         digest = request_digest(head, body)
         run = self._runs.get(name) or self._retained.get(name)
         if run is not None:
             if run.request_digest != digest:
-                raise KeyReused("the reservation was used for a request with another content")
+                raise KeyReused("the reservation was used for a request with different content")
             return run
         now = self._now()
         obstacle = self._book.look_up(name, now, bool(nonce))
@@ -242,9 +242,9 @@
 
     def _check_serving(self, head: messages.RequestHead) -> None:
         if self._draining:
-            raise Draining("the target is leaving")
+            raise Draining("the target is draining")
         if head.deadline_ms <= 0:
-            raise DeadlineTooNear("the deadline passed on the way to the target")
+            raise DeadlineTooNear("the deadline passed before the request reached the target")
         if not self._target_status.serving or head.service_name != self._target_status.service:
             reason = f"the target does not serve {head.service_name}"
             raise NoTarget(reason, retry_after_ms=NOT_SERVING_RETRY_MS)
@@ -252,7 +252,7 @@
             raise ReleaseMoved("the target serves other weights")
 
     def _count_held_pieces(self) -> int:
-        """Return how many pieces of requests in progress are in memory."""
+        """Return the number of pieces of requests in progress that are in memory."""
         return sum(len(run.pieces) for run in self._runs.values())
 
     def _on_run_ended(self, run: Run) -> None:
@@ -267,7 +267,7 @@
 
 
 async def _read_follow_ups(exchange: Exchange, listener: RunListener) -> None:
-    """Take the caller's credit as it comes, until it wants no more."""
+    """Add the caller's credit as it arrives, until the caller cancels."""
     while True:
         match await exchange.follow_up():
             case messages.Credit(pieces=pieces):
@@ -279,18 +279,18 @@
 
 def _check_head(head: messages.RequestHead | None) -> None:
     if head is None or not head.request_id or not head.service_name or head.resume_from < 0:
-        raise ProtocolViolation("a request without its id, its service or a sound position")
+        raise ProtocolViolation("the request has no id, no service or a negative resume position")
 
 
 def _obstacle_error(obstacle: AlreadyTaken | Rejected) -> LacewingError:
     if isinstance(obstacle, AlreadyTaken):
-        return AnswerGone("it ran here, and no whole answer of it is kept")
+        return AnswerGone("the request ran here, but no complete answer is kept")
     match obstacle.cause:
         case RejectionCause.WITHDRAWN:
             return Withdrawn("withdrawn before it started")
         case RejectionCause.LAPSED:
-            return TicketExpired("the reservation has expired, or was never given")
+            return TicketExpired("the reservation has expired, or was never granted")
         case RejectionCause.OTHER_INCARNATION:
-            return HolderGone("the agent that gave the reservation is gone")
+            return HolderGone("the agent that granted the reservation is gone")
         case RejectionCause.FORGOTTEN:
-            return HolderGone("the reservation is too old to tell whether it was used")
+            return HolderGone("the reservation is too old to determine whether it was used")
--- a/src/lacewinggw/agent/runs.py
+++ b/src/lacewinggw/agent/runs.py
@@ -1,7 +1,8 @@
-"""One run of a request on the target, and those who listen to it.
+"""Runs of requests on the target, and the exchanges that receive their answers.
 
-A run goes on by itself; exchanges with entries listen to it. So a lost connection loses no run, and
-an entry that comes back, or another one with the same reservation, listens from any piece on.
+A run does not depend on connections; exchanges with entries listen to it. So a lost connection
+loses no run, and an entry that reconnects, or another one with the same reservation, can listen
+from any piece on.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 
 
 def request_digest(head: RequestHead, body: bytes) -> str:
-    """Return the digest that tells one request's content from another's, in hexadecimal."""
+    """Return the hexadecimal SHA-256 that identifies the content of a request."""
     hashed = hashlib.sha256()
     for part in (head.service_name, head.account, head.method, head.path):
         hashed.update(part.encode())
@@ -29,7 +30,7 @@
 
 
 class Run:
-    """One run: its pieces so far, and how it ended."""
+    """One run, with its pieces so far and its outcome."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self.deadline = deadline
         self.first_index = head.resume_from
         self.started = False
-        self.ran_s: float | None = None  # once it came to its end
+        self.ran_s: float | None = None  # set when the run completes
         self.weights_digest = ""
         self.pieces: list[bytes] = []
         self.finish: Finish | None = None
@@ -57,12 +58,12 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it has its finish or its error."""
+        """Whether the run has a finish or an error."""
         return self.finish is not None or self.error is not None
 
     @property
     def size_bytes(self) -> int:
-        """About how much memory it takes."""
+        """The approximate size of the run in memory."""
         return RUN_OVERHEAD_BYTES + sum(map(len, self.pieces))
 
     @property
@@ -71,26 +72,26 @@
         return self._content.hexdigest()
 
     def add(self, pieces: list[bytes]) -> None:
-        """Add pieces that came from the target."""
+        """Add pieces received from the target."""
         self.pieces.extend(pieces)
         for piece in pieces:
             self._content.update(piece)
         self._wake()
 
     def complete(self, finish: Finish) -> None:
-        """End it with an answer, unless it has ended already."""
+        """End the run with an answer, unless it has already ended."""
         if not self.ended:
             self.finish = finish
             self._wake()
 
     def fail(self, error: LacewingError) -> None:
-        """End it without an answer, unless it has ended already."""
+        """End the run without an answer, unless it has already ended."""
         if not self.ended:
             self.error = error
             self._wake()
 
     async def wait_for_listeners(self, window: int) -> None:
-        """Wait while each listener is more than `window` pieces behind."""
+        """Wait while every listener is more than `window` pieces behind."""
         while self.listeners and not self.ended:
             behind = min(listener.backlog for listener in self.listeners)
             if behind <= window:
@@ -99,7 +100,7 @@
             await self._backlog_reduced
 
     def note_sent(self) -> None:
-        """Let the target go on if it waits for a listener."""
+        """Resume reading from the target if that waits for a listener."""
         if self._backlog_reduced is not None and not self._backlog_reduced.done():
             self._backlog_reduced.set_result(None)
 
@@ -109,7 +110,7 @@
 
 
 class RunListener:
-    """One exchange that gets the pieces of a run, no more than its credit at a time."""
+    """Sends the pieces of a run over one exchange, no more than its credit allows."""
 
     def __init__(self, run: Run, exchange: Exchange, first: int, credit: int) -> None:
         self._run = run
@@ -122,26 +123,26 @@
 
     @property
     def backlog(self) -> int:
-        """How many pieces it has not sent yet."""
+        """The number of pieces not sent yet."""
         return len(self._run.pieces) - self._sent
 
     def add_credit(self, pieces: int) -> None:
-        """Allow so many more pieces."""
+        """Allow `pieces` more pieces to be sent."""
         self._credit += pieces
         self.wake()
 
     def stop(self) -> None:
-        """Stop listening: the caller wants no more."""
+        """Stop listening because the caller cancelled."""
         self._stopped = True
         self.wake()
 
     def wake(self) -> None:
-        """Look again for what can be sent."""
+        """Check again for pieces that can be sent."""
         if self._waiting is not None and not self._waiting.done():
             self._waiting.set_result(None)
 
     async def send_all(self) -> None:
-        """Send every piece and the finish; raise the run's error, or that the caller left."""
+        """Send every piece and the finish; raise the run's error, or `CallerLeft`."""
         run = self._run
         loop = asyncio.get_running_loop()
         run.listeners.add(self)
@@ -149,7 +150,7 @@
             while True:
                 self._send_ready()
                 if self._stopped:
-                    raise CallerLeft("the caller wants no more")
+                    raise CallerLeft("the caller cancelled the request")
                 if run.ended and (self.backlog <= 0 or run.error is not None):
                     break
                 self._waiting = loop.create_future()
@@ -162,7 +163,7 @@
         self._exchange.finish(run.finish)
 
     def _send_ready(self) -> None:
-        """Send what is there and allowed in one frame."""
+        """Send the available pieces that the credit allows, in one frame."""
         run, sent = self._run, self._sent
         count = min(len(run.pieces) - sent, self._credit)
         if count <= 0:
@@ -178,7 +179,7 @@
 
 
 class RetainedRuns:
-    """Ended runs whose answers may be asked for again, within bounds of bytes and time."""
+    """Ended runs whose answers can be requested again, within limits of bytes and time."""
 
     def __init__(
         self, limit_bytes: int = RETAINED_BYTES_LIMIT, retention_s: float = RETENTION_S
@@ -189,12 +190,12 @@
         self._runs: OrderedDict[RunId, tuple[Run, float]] = OrderedDict()
 
     def get(self, run_id: RunId) -> Run | None:
-        """Return a run that is still kept."""
+        """Return a run that is still retained, or None."""
         found = self._runs.get(run_id)
         return None if found is None else found[0]
 
     def add(self, run: Run, now: float) -> None:
-        """Keep a run, and drop what is too old or too much."""
+        """Retain a run, and drop the oldest ones beyond the limits."""
         self._runs[run.id] = (run, now)
         self._bytes += run.size_bytes
         while self._runs:
--- a/src/lacewinggw/agent/target.py
+++ b/src/lacewinggw/agent/target.py
@@ -1,4 +1,4 @@
-"""The target on this host as requests see it: whether it may be used, and what it runs."""
+"""Status of the target on this host: whether requests may use it, and what it runs."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class TargetKind(Enum):
-    """What stands behind the agent."""
+    """The kind of target behind the agent."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -15,12 +15,12 @@
 
 @dataclass
 class TargetStatus:
-    """Shared between the keeper, which changes it, and the request service, which obeys it.
+    """Status that the reconciler updates and the request service reads.
 
     `active_digest` is what was last read back from the target, `""` when nothing is active or when
-    the target is plain. Requests are offered only while `serving`. `ready_digest` is loaded beside
-    what is active, for the host's turn to change over. `fences` is whether the settings say that
-    the target refuses orders with an old fence.
+    the target is plain. Requests are offered only while `serving`. `ready_digest` is loaded in
+    addition to the active one, for this host's turn in a rollout. `fences` is whether the settings
+    say that the target refuses orders with an old fence.
     """
 
     kind: TargetKind
--- a/src/lacewinggw/agent/topologies.py
+++ b/src/lacewinggw/agent/topologies.py
@@ -1,4 +1,4 @@
-"""What the list of hosts means for each release due here: whom this host exchanges it with."""
+"""Topology of each release due on this host: the hosts that it exchanges chunks with."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class TopologyPlanner(Protocol):
-    """What derives the links of a release."""
+    """Derives the topology of a release."""
 
     def derive(self, me: ReleaseHost, hosts: Iterable[ReleaseHost], digest: Digest) -> Topology:
         """Return the topology for `me` among `hosts`."""
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class DueRelease:
-    """A release that this host is to hold, and all the hosts due it."""
+    """A release that this host must hold, and all the hosts that must hold it."""
 
     name: str
     digest: Digest
@@ -32,10 +32,10 @@
 
 
 class TopologyTracker:
-    """The topology of each due release, derived from the hosts that are live and not suspect.
+    """Derives the topology of each due release from the hosts that are live and not suspect.
 
-    `bad_sources` tells which hosts were left for their corrupt chunks of a release; they are
-    nobody's gateway. `other_plan` takes the place of the product's own, for comparisons.
+    `bad_sources` returns the hosts that are avoided for their corrupt chunks of a release; they are
+    not used as gateways. `plan_override` replaces the default plan, for comparisons.
     """
 
     def __init__(
@@ -51,21 +51,21 @@
         self._derived_inputs: tuple[frozenset[HostId], int] = (frozenset(), 0)
 
     def set_members(self, members: Sequence[Member]) -> None:
-        """Take the list of live hosts."""
+        """Set the list of live hosts."""
         self._members = {member.host: member for member in members}
         self._mesh.set_addresses({member.host: member.address for member in members})
 
     def is_first_at_origin(self, digest: Digest) -> bool:
-        """Return whether this host is one of those that ask the origin first."""
+        """Return whether this host is one of those that send requests to the origin first."""
         topology = self.topologies.get(digest)
         return topology is not None and any(each.at_origin == 0 for each in topology.columns)
 
     def is_outdated(self) -> bool:
-        """Return whether hosts have become suspect or bad, or are so no more."""
+        """Return whether the suspect hosts or the bad sources have changed since `derive`."""
         return self._derived_inputs != self._current_inputs()
 
     def derive(self, due: Mapping[Digest, DueRelease]) -> None:
-        """Work out the topology of each due release, and want links to the neighbours in it."""
+        """Derive the topology of each due release, and request links to its neighbours."""
         self._derived_inputs = self._current_inputs()
         suspects = self._derived_inputs[0]
         live = {
--- a/src/lacewinggw/agent/uploads.py
+++ b/src/lacewinggw/agent/uploads.py
@@ -1,8 +1,9 @@
-"""Send chunks to the neighbours that ask for them over the paced uplink, a few by turns.
+"""Upload of chunks to the neighbours that request them, a few interleaved over the paced uplink.
 
-A receiver is sent chunks by as many neighbours at once. If each of them sent one chunk at the full
-rate of its link, they would meet as a burst before the receiver's link, and live requests behind
-them. By turns each sends at a part of its rate, and the parts add up to about the link.
+A receiver gets chunks from several neighbours at once. If each of them sent one chunk at the full
+rate of its link, the chunks would queue as a burst before the receiver's link, with live requests
+behind them. Interleaved, each chunk gets a part of its sender's rate, and the parts add up to about
+the rate of the receiver's link.
 """
 
 import asyncio
@@ -19,12 +20,12 @@
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import Exchange
 
-SLICE_S = 0.01  # a live answer waits at most so long behind a slice
-MIN_SLICE_BYTES = 4 << 10  # 9 ms of a link of 3.8 Mbit/s, before a live answer gets its turn
+SLICE_S = 0.01  # the most that a live answer waits behind a slice
+MIN_SLICE_BYTES = 4 << 10  # 9 ms on a link of 3.8 Mbit/s, for which a live answer waits
 MAX_SLICE_BYTES = 256 << 10
 DRAIN_TIMEOUT_S = 0.5
-# Chunks sent by turns. Modelled for 15 hosts (tests/fleet/spread_links.py): with 1 a slice waits
-# 36 ms before the link of its receiver, with 3 it waits 10 ms and all is there 0.1 s later.
+# Chunks sent interleaved. In a model of 15 hosts (tests/fleet/spread_links.py) a slice waits 36 ms
+# before its receiver's link with 1, and 10 ms with 3, which completes the release 0.1 s later.
 CONCURRENT_UPLOADS = 3
 
 FindChunk = Callable[[Digest, int], bytes | None]
@@ -33,7 +34,7 @@
 
 @dataclass(eq=False)
 class _Upload:
-    """A request, the exchange that waits for it, and how much of the chunk has been sent."""
+    """A request, the exchange that waits for it, and how much of the chunk was sent."""
 
     request: UploadRequest
     exchange: Exchange
@@ -42,16 +43,16 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nobody waits for the rest."""
+        """Whether the receiver no longer waits for the rest."""
         return self.done.is_set() or self.exchange.link.closed.is_set()
 
 
 class Uploader:
-    """The uplink's queue, and the task that serves it.
+    """Serves the uplink's queue of chunk requests.
 
-    `find` gives a verified chunk, `held_by` tells how many chunks a host has, and `note` is told of
-    each upload with its bytes. A receiver that does not drain its connection for `STUCK_S` loses
-    its turn, so that it holds up nobody else.
+    `find_chunk` returns a verified chunk, `held_by` returns how many chunks a host has, and
+    `on_upload` is called with the bytes of each slice sent. A receiver that does not drain its
+    connection for `DRAIN_TIMEOUT_S` loses its upload, so that it does not delay the others.
     """
 
     def __init__(
@@ -77,11 +78,11 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait or are being served."""
+        """The number of requests that wait or are being served."""
         return len(self._waiting)
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -89,15 +90,15 @@
         await self._loop.close()
 
     async def serve(self, exchange: Exchange, request: UploadRequest) -> None:
-        """Queue a request and wait until it was served or given up.
+        """Queue a request and wait until it is served or cancelled.
 
-        Raises `ChunkNotHeld` for a chunk that is not held and `LinkBusy` when its host has too
-        many waiting.
+        Raise `ChunkNotHeld` for a chunk that is not held, and `LinkBusy` if its host has too many
+        requests waiting.
         """
         if self.find_chunk(request.digest, request.index) is None:
             raise ChunkNotHeld(f"chunk {request.index} of {request.digest} is not here")
         if not self._queue.add(request):
-            raise LinkBusy(f"{request.host} has too many chunks waiting")
+            raise LinkBusy(f"{request.host} has too many chunk requests waiting")
         upload = _Upload(request, exchange, asyncio.Event())
         self._waiting[request] = upload
         self._arrived.set()
@@ -107,14 +108,14 @@
             self.cancel(request)
 
     def cancel(self, request: UploadRequest) -> None:
-        """Drop a request that has not been served."""
+        """Drop a request that has not been served yet."""
         self._queue.cancel(request)
         upload = self._waiting.pop(request, None)
         if upload is not None:
             upload.done.set()
 
     def forget(self, digest: Digest) -> None:
-        """Drop all that has to do with a release that is no longer due."""
+        """Drop the requests and the state of a release that is no longer due."""
         for request in [each for each in self._waiting if each.digest == digest]:
             self.cancel(request)
         self._queue.forget(digest)
@@ -142,7 +143,7 @@
                 turns.append(upload)
 
     def _start_uploads(self, turns: deque[_Upload]) -> None:
-        """Begin with further chunks, as far as there are turns for them."""
+        """Start queued uploads, up to `CONCURRENT_UPLOADS` at once."""
         while len(turns) < CONCURRENT_UPLOADS:
             request = self._queue.take(self._held_by)
             if request is None:
@@ -177,7 +178,7 @@
         except TimeoutError:
             self._stuck.add()
             host = upload.exchange.link.remote.host
-            raise ConnectionLost(f"{host} does not take what it asked for") from None
+            raise ConnectionLost(f"{host} does not read the chunk that it requested") from None
 
     def _slice_bytes(self) -> int:
         fitting = int(self._rate() * SLICE_S)
--- a/src/lacewinggw/agent/weights.py
+++ b/src/lacewinggw/agent/weights.py
@@ -1,10 +1,10 @@
-"""The weights on this host: which releases are due, how far each is, and their chunks.
+"""The weights on this host: the due releases, their progress and their chunks.
 
 spreader = Spreader.from_config(settings, node, origin, store, metrics, rng)
 await spreader.start()
 spreader.set_members(members)
 spreader.set_due({digest: DueRelease(name, digest, hosts, Prefer.TIME)})
-manifest = await spreader.complete(digest)
+manifest = await spreader.wait_complete(digest)
 data = spreader.chunk(digest, 0)
 """
 
@@ -47,7 +47,7 @@
 
 
 def spread_rules(settings: Settings, has_store: bool = True) -> SpreadRules:
-    """Return the policy's constants as the settings have them."""
+    """Return the constants of the scheduling policy from the settings."""
     spread, agent = settings.spread, settings.agent
     return SpreadRules(
         link_bytes_per_s=agent.link_bytes_per_s * agent.weights_share_percent / PERCENT,
@@ -63,7 +63,7 @@
 
 
 class Spreader:
-    """All releases on this host."""
+    """Downloads and uploads the releases due on this host."""
 
     def __init__(
         self,
@@ -133,43 +133,45 @@
     ) -> "Spreader":
         """Build the spreader that the settings describe.
 
-        `check` tells whether a manifest is the one asked for; `local` has chunks from before.
+        `check` verifies a manifest; `local` provides chunks that were on this host before.
         """
         return cls(settings, node, origin, store, metrics, rng, check, local)
 
     def use_policy(self, plan: TopologyPlanner, make_spread: MakeSpread) -> None:
-        """Spread by another policy, from the next release on; for comparisons."""
+        """Use another policy from the next release on, for comparisons."""
         self._topologies.plan_override = plan
         self._context = replace(self._context, make_spread=make_spread)
 
     def set_origin_rate(self, bytes_per_s: float) -> None:
-        """Have the releases that are due from now on count on this rate of the origin's link."""
+        """Set the rate of the origin's link that releases due from now on assume."""
         rules = replace(self._context.rules, origin_bytes_per_s=bytes_per_s)
         self._context = replace(self._context, rules=rules)
 
     async def start(self) -> None:
-        """Begin to serve and to fetch."""
+        """Start downloading and uploading."""
         await self.uploader.start()
         self._loop.start()
 
     async def close(self) -> None:
-        """Stop fetching and serving."""
+        """Stop downloading and uploading."""
         for digest in list(self._due):
             self._stop(digest)
         self._mesh.close()
         await self.uploader.close()
         await self._loop.close()
 
-    # ---- what is due ----------------------------------------------------------------------
+    # ---- due releases ---------------------------------------------------------------------
 
     def set_members(self, members: Sequence[Member]) -> None:
-        """Take the list of live hosts."""
+        """Set the list of live hosts."""
         self._topologies.set_members(members)
         self._derive_topologies()
 
     def set_due(self, due: Mapping[Digest, DueRelease]) -> None:
-        """Take the releases due here. Those no longer due stop at once; chunks that the others
-        share with them stay."""
+        """Set the releases due on this host.
+
+        Those no longer due stop at once; chunks that the others share with them stay.
+        """
         for digest in self._due.keys() - due.keys():
             self._stop(digest)
         if due == self._due:
@@ -183,7 +185,7 @@
         self._drop_unused_chunks()
 
     async def add_local_chunks(self) -> None:
-        """Count in once more what lies on this host, for releases that are not here whole."""
+        """Add again the chunks that were on this host, for releases that are incomplete."""
         if self._local is None:
             return
         for download in list(self._downloads.values()):
@@ -202,7 +204,7 @@
         self.uploader.forget(digest)
 
     def _drop_unused_chunks(self) -> None:
-        """Free chunks of releases no longer due, once it is known what the others share."""
+        """Free chunks of releases no longer due, once all due releases have a manifest."""
         if self._due.keys() == self._downloads.keys():
             downloads = self._downloads.values()
             self._chunks.keep_only(h for each in downloads for h in each.manifest.chunk_hashes)
@@ -231,7 +233,7 @@
     # ---- chunks ---------------------------------------------------------------------------
 
     async def wait_complete(self, digest: Digest) -> messages.Manifest:
-        """Wait until every chunk of a due release holds its hash, and return its manifest."""
+        """Wait until every chunk of a due release is verified, and return its manifest."""
         async with self._download_added:
             await self._download_added.wait_for(lambda: digest in self._downloads)
         download = self._downloads[digest]
@@ -239,7 +241,7 @@
         return download.manifest
 
     def chunk(self, digest: Digest, index: int) -> bytes:
-        """Return a verified chunk; raise `ChunkNotHeld` when it is not here."""
+        """Return a verified chunk; raise `ChunkNotHeld` if it is not held."""
         data = self._find_chunk(digest, index)
         if data is None:
             raise ChunkNotHeld(f"chunk {index} of {digest} is not here")
@@ -251,7 +253,7 @@
         return download.manifest if download else None
 
     def held_fraction(self, digest: Digest) -> float:
-        """Return the share of a due release's chunks that hold their hash, from 0 to 1."""
+        """Return the fraction of a due release's chunks that are verified, from 0 to 1."""
         download = self._downloads.get(digest)
         if download is None or not download.spread.chunk_count:
             return 0.0
@@ -272,7 +274,7 @@
         self._on_chunk.append(callback)
 
     def reports(self) -> list[messages.SpreadReport]:
-        """Return what is to be told of each release due here."""
+        """Return the progress of each release due on this host."""
         return [self._report(due) for due in self._due.values()]
 
     def _report(self, due: DueRelease) -> messages.SpreadReport:
@@ -317,10 +319,10 @@
             download.traffic.uploaded_bytes += size
         self._sent_bytes.add(size)
 
-    # ---- other hosts ----------------------------------------------------------------------
+    # ---- messages of other hosts ----------------------------------------------------------
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer another host: manifests, chunks, and what it says it holds."""
+        """Handle another host's requests for manifests and chunks, and its have maps."""
         match exchange.message:
             case messages.Have() as have:
                 self._handle_have(exchange, have)
@@ -339,7 +341,7 @@
             case messages.FetchManifest() as fetch:
                 download = self._downloads.get(Digest(fetch.digest))
                 if download is None:
-                    raise UnknownDigest(f"no manifest of {fetch.digest} here yet")
+                    raise UnknownDigest(f"the manifest of {fetch.digest} is not known here yet")
                 exchange.finish(messages.ManifestData(download.manifest))
 
     def _handle_have(self, exchange: Exchange, have: messages.Have) -> None:
@@ -378,7 +380,7 @@
         return download.spread.bad_sources if download else []
 
     async def _run(self) -> None:
-        """Announce often, decide at every tick, greet the silent now and then."""
+        """Announce often, decide at every tick, and request missing have maps at an interval."""
         loop = asyncio.get_running_loop()
         tick_at = greet_at = loop.time()
         while True:
--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -1,7 +1,7 @@
-"""What an agent knows of its part: its model, the versions named, and who takes part with it.
+"""Assignment of an agent: its model, the versions named, and the hosts of its service.
 
-It is told by entries, which read the store anyway; while none of them speaks, it reads the store.
-Either way versions only rise, and the list of targets with the higher position counts.
+Entries send it, since they read the store anyway; while none of them does, the agent reads the
+store. Either way versions only rise, and the list of targets with the higher position is used.
 """
 
 from collections.abc import Mapping, Sequence
@@ -21,15 +21,14 @@
 from lacewinggw.wire.soundness import require_sound
 
 MS_PER_S = 1000.0
-UPDATE_TIMEOUT_S = (
-    4.0  # updates of entries come every 1.5 s; after more than two that did not, the store is read
-)
+# Entries send updates every 1.5 s; after more than two missing ones, the store is read.
+UPDATE_TIMEOUT_S = 4.0
 
 log = get_logger(__name__)
 
 
 class Assignment:
-    """The part of the agent beside the target at `address`, of the service `name`."""
+    """The assignment of the agent for the target at `address`, of the service `name`."""
 
     def __init__(
         self, name: ServiceName, address: Address, rules: RoutingViewRules, clock: Clock
@@ -46,21 +45,21 @@
         self._routes_version = 0
         self._position = NO_POSITION
         self._updated_at = float("-inf")
-        self._hosts: Mapping[HostId, Place] | None = None  # None: to be worked out anew
+        self._hosts: Mapping[HostId, Place] | None = None  # None: to be computed again
 
     @property
     def has_recent_update(self) -> bool:
-        """Whether an entry spoke lately, so that the store need not be read."""
+        """Whether an entry sent an update recently, so that the store need not be read."""
         return self._clock() - self._updated_at < UPDATE_TIMEOUT_S
 
     @property
     def due_versions(self) -> Sequence[RequiredVersion]:
-        """The versions that were named, the oldest first."""
+        """The versions that were named, oldest first."""
         return self._knowledge.required_versions(self.model) if self.model else ()
 
     @property
     def hosts(self) -> Mapping[HostId, Place]:
-        """The hosts whose targets take part, those that are leaving left out."""
+        """The hosts of the service's targets, except targets that are leaving."""
         if self._hosts is None:
             self._hosts = {
                 HostId(entry.address.rpartition(":")[0]): entry.place
@@ -71,28 +70,28 @@
 
     @property
     def own_target(self) -> TargetEntry | None:
-        """The present start of the target beside the agent, None until it is listed."""
+        """The current incarnation of the agent's target, None until it is listed."""
         mine = [
             entry for entry in self._knowledge.targets.values() if entry.address == self._address
         ]
         return max(mine, key=lambda entry: entry.born_ms, default=None)
 
     def is_leaving(self, target: TargetId) -> bool:
-        """Return whether a target takes no new work."""
+        """Return whether a target accepts no new work."""
         return target in self._knowledge.leaving
 
     def apply_rules(self, rules: RoutingViewRules) -> None:
-        """Take in changed bounds."""
+        """Apply changed bounds."""
         self._knowledge.rules = rules
 
     def note_store_regained(self, now: float) -> None:
-        """Note that the store answers again."""
+        """Record that the store answers again."""
         self._knowledge.record_outage_end(now)
 
     # ---- from the store -------------------------------------------------------------------
 
     def apply_configuration(self, update: FeedUpdate, _: AnswerTimes) -> None:
-        """Take what the store says of routes and versions."""
+        """Apply routes and versions read from the store."""
         for change in update.changes:
             match change:
                 case ItemChanged(RouteTable() as table):
@@ -101,7 +100,7 @@
                     self._add_due_version(due, self._clock(), update.whole)
 
     def apply_targets(self, update: FeedUpdate, _: AnswerTimes) -> None:
-        """Take what the store says of targets."""
+        """Apply targets read from the store."""
         self._hosts = None
         now = self._clock()
         self._knowledge.expire(now)
@@ -127,7 +126,7 @@
     # ---- from entries ---------------------------------------------------------------------
 
     def apply_update(self, update: messages.FleetUpdate) -> None:
-        """Take what an entry says."""
+        """Apply an update that an entry sent."""
         require_sound(update)
         if update.service_name != self._name:
             return
--- a/src/lacewinggw/loader/process.py
+++ b/src/lacewinggw/loader/process.py
@@ -1,4 +1,4 @@
-"""The agent process of a declared fleet: weights for its target, and updates of its work."""
+"""The agent process of a declared fleet: weights for its target, and updates of its load."""
 
 import asyncio
 import random
@@ -57,16 +57,20 @@
 from lacewinggw.wire.peers import Exchange, Identity, PeerLink, PeerNode
 
 MS_PER_S = 1000.0
-COPY_TIME_FACTOR = 1.3  # a copy takes that much longer than over a link of its own
-REPORT_INTERVAL_S = 0.1  # the target is asked for its state so often: free from its own host
-UNCHANGED_INTERVAL_S = 0.6  # between updates that say the same again
-# Between updates of the target's work: a border between regions is narrow and priced. They tell
-# whom to ask for a slot first, so much later they would send more requests to busy targets.
+COPY_TIME_FACTOR = 1.3  # a copy takes this many times as long as over a dedicated link
+REPORT_INTERVAL_S = 0.1  # between reads of the target's state, which cost nothing from its own host
+UNCHANGED_INTERVAL_S = 0.6  # between updates without a change
+# Between updates of the target's load: links between regions are narrow and charged for. Entries
+# use the updates to choose which target to ask for a slot first, so a much longer interval would
+# send more requests to busy targets.
 UPDATE_INTERVAL_S = 0.2
-# Until an agent that starts reads the store, drawn between the two: entries send it all that it
-# needs in some hundred bytes, while the routes of agents that start together would fill a border.
+# Random wait before a starting agent reads the store: entries send all that it needs in some
+# hundred bytes, while agents that start together and read routes would saturate a link between
+# regions.
 ENTRY_WAIT_RANGE_S = (0.5, 1.0)
-STORE_WAIT = PollTimes(for_update_s=4.0, after_update_s=0.5)  # only while no entry speaks
+STORE_WAIT = PollTimes(
+    for_update_s=4.0, after_update_s=0.5
+)  # used only while no entry sends updates
 
 log = get_logger(__name__)
 
@@ -75,7 +79,7 @@
 
 @dataclass(frozen=True)
 class LoaderAdapter:
-    """How the operators' platform speaks: its store, its targets and its origin of weights."""
+    """Access to the operators' platform: its store, its target and its origin of weights."""
 
     feed: FleetFeed
     target: LoadableTarget
@@ -84,7 +88,7 @@
 
 @dataclass(frozen=True)
 class _SpreadInputs:
-    """What the spread is to bring, from where, and among whom."""
+    """The versions to distribute, their origin, and the hosts that exchange them."""
 
     model: ModelName
     versions: tuple[int, ...]
@@ -94,7 +98,7 @@
 
 
 class _ConfiguredOrigin:
-    """The origin that the routes name, which may change."""
+    """The origin that the routes name; its address may change."""
 
     def __init__(self, make: MakeOrigin) -> None:
         self._make = make
@@ -102,7 +106,7 @@
         self._origin: WeightSource | None = None
 
     def set_address(self, address: Address) -> None:
-        """Ask this address from now on."""
+        """Use this address from now on."""
         if address != self._address:
             self._address = address
             self._origin = self._make(address)
@@ -112,7 +116,7 @@
         return await self._require_origin().manifest_by_digest(digest)
 
     async def fetch(self, manifest: messages.Manifest, index: int) -> bytes:
-        """Return the bytes that the origin sends for a chunk, unchecked."""
+        """Return the bytes that the origin sends for a chunk, without checking their hash."""
         return await self._require_origin().fetch(manifest, index)
 
     def _require_origin(self) -> WeightSource:
@@ -122,7 +126,7 @@
 
 
 class LoaderProcess:
-    """Everything that runs in the slot on one target host of a declared fleet.
+    """The agent process on one target host of a declared fleet.
 
     agent = LoaderProcess.from_config(settings, adapter)
     await agent.start()
@@ -216,10 +220,10 @@
             on_regained=self.assignment.note_store_regained,
         )
 
-    # ---- life -----------------------------------------------------------------------------
+    # ---- lifecycle ------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Begin to follow the store, to exchange weights and to look after the target."""
+        """Start following the store, exchanging weights and managing the target."""
         for follower in self._followers:
             await follower.start()
         await self._node.start(self._settings.agent.peer_listen)
@@ -229,7 +233,7 @@
         self._load_loop.start()
 
     async def drain(self) -> None:
-        """Leave at once: nothing runs here that a caller waits for."""
+        """Do nothing: no caller waits for anything that runs here."""
 
     async def close(self) -> None:
         """Stop."""
@@ -243,7 +247,7 @@
         await self._node.close()
 
     def apply(self, settings: Settings) -> None:
-        """Take in changed settings: the bounds of the fleet; the rest at the next start."""
+        """Apply the changed bounds of the fleet; other settings apply at the next start."""
         self._settings.fleet = settings.fleet
         self.assignment.apply_rules(knowledge_rules(settings))
 
@@ -252,21 +256,21 @@
         return Readiness(ready, "" if ready else "the target has not answered yet")
 
     def _needs_store(self) -> bool:
-        """Return whether the store is to be read, as no entry speaks."""
+        """Return whether the store must be read because no entry sends updates."""
         return not self.assignment.has_recent_update and self._clock() >= self._store_read_from
 
-    # ---- what is due ----------------------------------------------------------------------
+    # ---- due versions ---------------------------------------------------------------------
 
     @property
     def _rules(self) -> UpgradeRules:
-        """The time that is allowed, and that a copy takes by this host's link."""
+        """The time that an upgrade may take, and that a copy takes over this host's link."""
         figures = self.assignment.figures
         size = figures.chunks * figures.chunk_bytes if figures else 0
         copy_s = COPY_TIME_FACTOR * size / self._settings.agent.link_bytes_per_s
         return UpgradeRules(self._settings.fleet.version_ms / MS_PER_S, copy_s)
 
     def _upgrade(self, model: ModelName) -> UpgradeStep:
-        """Return what is to be done for the target; one that does not answer counts as empty."""
+        """Return the next upgrade step of the target; one that does not answer counts as empty."""
         current = self._current_version(model)
         due = self.assignment.due_versions
         versions = {FIRST_VERSION, *(each.version for each in due)}
@@ -274,7 +278,7 @@
         return self._upgrade_plan().decide(current, due, VersionProgress(shares), self._clock())
 
     def _upgrade_plan(self) -> UpgradePlanner:
-        """Return the plan among the hosts that there are: ranking 150 of them takes 0.2 ms."""
+        """Return the plan for the current hosts, cached as ranking 150 of them takes 0.2 ms."""
         rules, hosts = self._rules, frozenset((*self.assignment.hosts, self._host))
         if self._plan is None or self._plan[:2] != (rules, hosts):
             self._plan = rules, hosts, UpgradePlanner(rules, self._host, hosts)
@@ -284,7 +288,7 @@
         return self._report.weights.get(model) if self._report else None
 
     def _update_spread(self) -> None:
-        """Have the spread bring what is to be fetched, and keep what others may still want."""
+        """Set the versions to fetch, and those to keep because other hosts may request them."""
         part = self.assignment
         if part.model is None:
             return
@@ -295,7 +299,7 @@
             part.origin,
             part.origin_bytes_per_s,
         )
-        # Ten times a second nothing has changed, and with many hosts it costs to say so again.
+        # This runs ten times a second, mostly without a change, and is costly with many hosts.
         if inputs != self._spread_inputs:
             self._spread_inputs = inputs
             self._apply_spread_inputs(inputs)
@@ -314,7 +318,7 @@
     def _versions_to_hold(self, model: ModelName) -> Sequence[int]:
         """Return the versions to fetch, or the one that the target serves, for others to fetch.
 
-        At the first start of a whole fleet targets come with weights: theirs is awaited.
+        At the first start of a fleet the targets already hold weights, so wait for their report.
         """
         if self._settings.fleet.first_start and not self._has_answered:
             return ()
@@ -347,7 +351,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     def _reserve_answer_bandwidth(self, report: LoadableReport) -> None:
-        """Have weights leave answers their part of the link while the target makes any."""
+        """Reserve the answers' share of the link while the target is generating any."""
         if report.running:
             link_bytes_per_s = self._settings.agent.link_bytes_per_s
             share = live_traffic_share(report.running)
@@ -363,10 +367,10 @@
             if model is None or report is None or report.busy or self._loader.is_loading:
                 continue
             if report.leaving:
-                continue  # weights would serve nobody
+                continue  # it would not use the weights
             try:
                 if self._staged.read_failed:
-                    # The target was not up yet. A copy that lies there need not come over links.
+                    # The target was not up yet. Pieces staged there need not be downloaded.
                     await self.spreader.add_local_chunks()
                 await self._advance(model, report)
             except TargetUnreachable as error:
@@ -391,7 +395,7 @@
         self._notify_entries()
 
     def _is_emptied(self, report: LoadableReport, order_by: float) -> bool:
-        """Return whether what runs on the target has had its time; nothing is sent meanwhile."""
+        """Return whether running requests ended or had their time; none are sent meanwhile."""
         now = self._clock()
         if self._emptying_since is None:
             self._emptying_since = now
@@ -409,7 +413,7 @@
 
     @property
     def _is_changing_weights(self) -> bool:
-        """Whether the target loads, or is emptied to load."""
+        """Whether the target loads weights, or is being emptied to load them."""
         return self._loader.is_loading or self._emptying_since is not None
 
     # ---- entries --------------------------------------------------------------------------
@@ -436,16 +440,16 @@
                 if self.assignment.has_recent_update and not was_told:
                     self._interrupt_store_reads()
             case _:
-                return False  # chunks and have-maps, which may wait for room
+                return False  # chunks and have maps, which may wait for capacity
         return True
 
     def _interrupt_store_reads(self) -> None:
-        """Give up reads that an entry made needless: routes may take a second over this link."""
+        """Interrupt reads made unnecessary by an update: routes can take a second on this link."""
         for follower in self._followers:
             follower.interrupt()
 
     def _notify_entries(self) -> None:
-        """Send updates of the target's work to the entries that listen, when it has changed."""
+        """Send the target's load to the watching entries, on change and at an interval."""
         if self._is_changing_weights:
             self._update_slots()
         now = self._clock()
@@ -480,7 +484,7 @@
 
 
 def _birth_ms(target: TargetEntry, report: LoadableReport) -> int:
-    """Return when the target was born as it says itself, if entries know births from the list."""
+    """Return the start time that the target reports, or 0 if the list gives entries none."""
     return (report.born_ms or target.born_ms) if target.born_ms else 0
 
 
@@ -491,6 +495,6 @@
 async def run_loader(
     settings: Settings, adapter: LoaderAdapter, path: str, load: Callable[[], Settings]
 ) -> None:
-    """Run an agent until it is asked to leave; `load` reads the file at `path` again."""
+    """Run an agent until it is asked to leave; `load` reloads the settings file at `path`."""
     process = LoaderProcess.from_config(settings, adapter)
     await run_process(process, settings, "agent", path, load)
--- a/src/lacewinggw/loader/releases.py
+++ b/src/lacewinggw/loader/releases.py
@@ -1,4 +1,4 @@
-"""The name of a version of a model's weights, as a release of the spread."""
+"""Names under which versions of a model's weights are distributed as releases."""
 
 from lacewinggw.ids import Digest, ModelName
 
@@ -6,7 +6,7 @@
 
 
 def release_of(model: ModelName, version: int) -> Digest:
-    """Return the identity of a version in the spread.
+    """Return the name of the release that a version is distributed as.
 
     >>> release_of(ModelName("market"), 7)
     'market@7'
@@ -15,6 +15,6 @@
 
 
 def split_release(release: Digest) -> tuple[ModelName, int]:
-    """Return the model and the version that a release stands for."""
+    """Return the model and the version that a release name consists of."""
     model, _, version = release.rpartition(SEPARATOR)
     return ModelName(model), int(version)
--- a/src/lacewinggw/loader/slots.py
+++ b/src/lacewinggw/loader/slots.py
@@ -1,4 +1,4 @@
-"""The agent's end of leases on its target's slots: entries ask, wait, and give them back."""
+"""The agent's side of leases on its target's slots, which entries request and return."""
 
 import asyncio
 import itertools
@@ -15,17 +15,17 @@
 
 MS_PER_S = 1000.0
 US_PER_S = 1e6
-TIMER_MARGIN_S = 0.001  # timers are no finer
+TIMER_MARGIN_S = 0.001  # the resolution of timers
 
 log = get_logger(__name__)
 
 
 class AgentSlotService:
-    """Gives out the slots of one target.
+    """Grants the slots of one target to entries.
 
-    desk = SlotDesk(metrics)
-    await desk.serve(exchange, ask)  # until the entry gives the slot back, or its link breaks
-    desk.note_target(running=5, begins=True)
+    slots = AgentSlotService(metrics)
+    await slots.serve(exchange, ask)  # until the entry returns the slot, or its link breaks
+    slots.update_target(running=5, accepts_work=True)
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -41,22 +41,23 @@
 
     @property
     def taken(self) -> int:
-        """How many slots are taken."""
+        """The number of slots that are taken."""
         return self._ledger.taken
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a slot."""
+        """The number of requests that wait for a slot."""
         return self._ledger.waiting
 
     def close(self) -> None:
-        """Stop looking after the line."""
+        """Cancel the timer that checks the queue."""
         self._cancel_recheck()
 
     def update_target(self, running: int | None, accepts_work: bool) -> None:
-        """Take what the target has running and queued, None where it does not answer.
+        """Set how many requests the target has running and queued, None if it does not answer.
 
-        One that `begins` nothing, as it loads, gets nothing, and who waits for it is told.
+        While the target accepts no work, for example because it loads weights, no slots are granted
+        and waiting requests are declined.
         """
         if running is not None:
             self._ledger.note_report(running, _now())
@@ -70,7 +71,7 @@
             self._notify(self._ledger.close(), SlotState.DECLINED)
 
     async def serve(self, exchange: Exchange, ask: messages.AskSlot) -> None:
-        """Look after one lease from its asking to its end."""
+        """Handle one lease from its request to its end."""
         require_sound(ask)
         if not self._ledger.is_open:
             self._counts[SlotState.DECLINED].add()
@@ -91,7 +92,7 @@
         exchange.end_quietly()
 
     def _grant(self, asked: LeaseId | None = None) -> bool:
-        """Give what is free to those in line; return whether `asked` is settled by it."""
+        """Grant free slots to waiting requests; return whether `asked` was granted or overtaken."""
         now = _now()
         given = self._ledger.grant(now)
         self._notify(given, SlotState.GRANTED)
--- a/src/lacewinggw/loader/target.py
+++ b/src/lacewinggw/loader/target.py
@@ -1,4 +1,4 @@
-"""What the loader asks of the target beside it, whatever the target speaks."""
+"""Interface between the loader and its target, independent of the target's protocol."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class LoadableReport:
-    """What a target says of itself now.
+    """The current state that a target reports.
 
-    `weights` are the versions of models that it holds whole; `orders` counts the orders it has
-    taken since its start, by which one that went unanswered is told from one that was lost.
-    `born_ms` tells that start from others, in Unix milliseconds; 0 where it is not told.
-    One that is `leaving` takes no new work any more.
+    `weights` are the versions of models that it holds completely. `orders` counts the orders that
+    it has accepted since its start, which distinguishes an order without a response from one that
+    was lost. `born_ms` is the time of that start in Unix milliseconds, 0 if not reported; it
+    distinguishes incarnations. A target that is `leaving` accepts no new work.
     """
 
     running: int
@@ -28,18 +28,18 @@
 
 
 class SwitchMode(Enum):
-    """What becomes of running requests when a target takes other weights."""
+    """What happens to running requests when a target switches to other weights."""
 
-    FINISH = "finish"  # they end first, and nothing new begins meanwhile
-    CUT = "cut"  # they are broken off
+    FINISH = "finish"  # they finish first, and no new one starts meanwhile
+    CUT = "cut"  # they are interrupted
 
 
 @dataclass(frozen=True)
 class StagedLoadOrder:
-    """Take what is staged as a version of a model.
+    """An order to load the staged pieces as a version of a model.
 
-    The target refuses it unless it has taken exactly `orders` orders, and when it has seen a higher
-    `fence`.
+    The target refuses it unless it has accepted exactly `orders` orders, and also if it has seen a
+    higher `fence`.
     """
 
     model: ModelName
@@ -50,30 +50,30 @@
 
 
 class OrderOutcome(Enum):
-    """What a target said of an order."""
+    """The response of a target to an order."""
 
     BEGUN = "begun"
-    DONE = "done"  # in effect already
-    REFUSED = "refused"  # its state is another than the order expects: read it again
+    DONE = "done"  # already in effect
+    REFUSED = "refused"  # its state differs from what the order expects: read it again
 
 
 class LoadableTarget(Protocol):
     """A target that loads weights staged on its host.
 
-    Calls raise `TargetUnreachable` when there is no answer; an order may then have been taken.
+    Calls raise `TargetUnreachable` without a response; an order may still have been accepted.
     """
 
     async def report(self) -> LoadableReport:
-        """Return what the target says of itself."""
+        """Return the target's current report."""
 
     async def staged(self, model: ModelName) -> frozenset[int]:
-        """Return the indexes of the pieces staged."""
+        """Return the indexes of the staged pieces."""
 
     async def read_piece(self, model: ModelName, index: int) -> bytes | None:
-        """Return a staged piece as it lies there, None when there is none."""
+        """Return a staged piece as it is stored, or None if there is none."""
 
     async def stage_piece(self, model: ModelName, index: int, data: bytes) -> None:
-        """Stage a piece in place of what was there."""
+        """Stage a piece, replacing what was stored at its index."""
 
     async def order(self, order: StagedLoadOrder) -> OrderOutcome:
-        """Give an order."""
+        """Give an order, and return the target's response."""
--- a/src/lacewinggw/loader/targetloader.py
+++ b/src/lacewinggw/loader/targetloader.py
@@ -1,8 +1,8 @@
-"""Keep the target beside this process at the version that is due.
+"""Loading of the due version into the target on this host.
 
-One step after the other, from what the target itself reports: stage what it lacks, read every piece
-back and compare its hash, and give the order. An order without an answer is not repeated: the next
-report tells what became of it.
+Each step starts from what the target itself reports: stage the missing pieces, read every piece
+back and compare its hash, and give the order. An order without a response is not repeated: the next
+report shows its result.
 """
 
 import hashlib
@@ -27,7 +27,7 @@
 
 
 class StagedChunks:
-    """The pieces that lie staged at the target, as chunks from before this process was started."""
+    """The pieces staged at the target, as chunks that were on this host before."""
 
     def __init__(self, target: LoadableTarget) -> None:
         self._target = target
@@ -35,11 +35,11 @@
 
     @property
     def read_failed(self) -> bool:
-        """Whether the target did not answer when its pieces were to be read."""
+        """Whether the target did not answer the last attempt to read its pieces."""
         return self._read_failed
 
     async def read(self, digest: Digest) -> Mapping[int, bytes]:
-        """Return every staged piece of the release's model; they may be of another version."""
+        """Return every staged piece of the release's model; pieces may be of another version."""
         model, _ = split_release(digest)
         found: dict[int, bytes] = {}
         self._read_failed = False
@@ -55,7 +55,7 @@
 
 
 class TargetLoader:
-    """Brings one target to a version, step by step."""
+    """Loads a version into one target, step by step."""
 
     def __init__(self, target: LoadableTarget, spreader: Spreader, metrics: Metrics) -> None:
         self._target = target
@@ -63,17 +63,19 @@
         self._metrics = metrics
         self._orders = metrics.counter("load_orders")
         self._replaced_pieces = metrics.counter("staged_pieces_replaced")
-        self._staged: set[int] = set()  # pieces of `_staged_for` that this process staged or read
+        self._staged: set[int] = (
+            set()
+        )  # pieces of `_staged_release` that this process staged or read
         self._staged_release: Digest | None = None
         self._loading = False
 
     @property
     def is_loading(self) -> bool:
-        """Whether an order was given whose end has not been reported."""
+        """Whether an order was given and its end has not been reported."""
         return self._loading
 
     def note_report(self, report: LoadableReport) -> None:
-        """Take what the target says now: a load is over once it is not busy any more."""
+        """Apply the target's current report: a load is over once it is no longer busy."""
         if not report.busy:
             self._loading = False
 
@@ -89,7 +91,7 @@
     async def load(
         self, model: ModelName, version: int, switch: SwitchMode, report: LoadableReport
     ) -> None:
-        """Check every piece where it lies, then give the order; raise `TargetUnreachable`."""
+        """Check every staged piece, then give the order; raise `TargetUnreachable`."""
         release = release_of(model, version)
         manifest = self._spreader.manifest(release)
         if manifest is None:
