--- a/tests/fleet/test_agent_cost.py
+++ b/tests/fleet/test_agent_cost.py
@@ -1,4 +1,4 @@
-"""What an agent does again and again must not grow with the fleet."""
+"""The periodic work of an agent must not grow with the size of the fleet."""
 
 import asyncio
 
@@ -9,9 +9,9 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_an_agent_works_out_its_neighbours_only_when_the_fleet_changes():
-    # Ten times a second each agent worked out whom it exchanges weights with, among all others: 1.5
-    # ms with 150 of them, half of the processor time of an agent that had nothing to do.
+async def test_an_agent_computes_its_neighbours_only_when_the_fleet_changes():
+    # Each agent used to compute the hosts it exchanges weights with ten times a second. With 150
+    # agents that took 1.5 ms, half of the CPU time of an idle agent.
     async with running_fleet(engines=2) as fleet:
         agent = await fleet.add_agent("engine0")
         await asyncio.sleep(2.0)
@@ -28,9 +28,9 @@
         assert told == [3]
 
 
-async def test_an_agent_is_told_what_is_new_and_not_each_row_that_its_targets_write():
-    # Targets write their rows each second, and each change had all agents told the whole list: with
-    # 80 of them that was a third of what idle entries send.
+async def test_an_agent_is_sent_changes_and_not_each_row_that_targets_write():
+    # Targets write their rows every second. Each write used to send the whole list to all agents,
+    # which with 80 targets was a third of the traffic of idle entries.
     async with running_fleet(engines=4) as fleet:
         agent = await fleet.add_agent("engine0")
         await asyncio.sleep(2.0)
@@ -42,7 +42,7 @@
             row = target_row(LLM, target.address, ColdRemainingMs=number)
             fleet.store.put("servers", target.target_id, row)
             await asyncio.sleep(0.2)
-        assert 3 <= len(told) <= 6  # each 1.5 s in 6 s, one entry speaks
+        assert 3 <= len(told) <= 6  # one entry sends an update every 1.5 s, for 6 s
         fleet.store.put("servers", "i-more", target_row(LLM, "10.2.0.9:8080"))
         await asyncio.sleep(0.8)
         assert "10.2.0.9" in agent.assignment.hosts
--- a/tests/fleet/test_agent_slots.py
+++ b/tests/fleet/test_agent_slots.py
@@ -1,4 +1,4 @@
-"""Slots of engines, asked of the agents beside them: entries and agents as they run."""
+"""Slots of engines that entries request from agents, with complete entries and agents."""
 
 import asyncio
 
@@ -39,8 +39,8 @@
 
 
 async def test_many_entries_never_send_an_engine_more_than_it_has_slots():
-    # 42 entries that each saw the same slots fall free had engines refuse 13,943 of 23,170
-    # requests as full; 2,873 callers got 502.
+    # When 42 entries saw the same slots become free, engines refused 13,943 of 23,170 requests
+    # because they were full, and 2,873 callers received status 502.
     async with running_fleet(engines=2, entries=4) as fleet:
         await start_agents(fleet, "engine0", "engine1")
         for target in fleet.targets.values():
@@ -51,7 +51,7 @@
         assert set(statuses) <= {200, 503}
 
 
-async def test_a_slot_comes_back_when_its_caller_leaves():
+async def test_a_slot_is_returned_when_its_caller_disconnects():
     async with running_fleet(engines=1) as fleet:
         await start_agents(fleet, "engine0")
         fleet.targets["engine0"].behaviour.pause_s = 0.3
@@ -65,7 +65,7 @@
         assert statuses == SLOTS * [200]
 
 
-async def test_slots_of_an_entry_that_dies_come_back():
+async def test_slots_of_an_entry_that_dies_are_returned():
     async with running_fleet(engines=1, entries=2) as fleet:
         await start_agents(fleet, "engine0")
         fleet.targets["engine0"].behaviour.pause_s = 0.3
@@ -81,7 +81,7 @@
         lost.cancel()
 
 
-async def test_an_agent_that_falls_silent_holds_nothing_up():
+async def test_an_unresponsive_agent_delays_no_requests():
     async with running_fleet(engines=2) as fleet:
         await start_agents(fleet, "engine0", "engine1")
 
@@ -95,7 +95,7 @@
         assert asyncio.get_running_loop().time() - began < 0.3
 
 
-async def test_without_agents_entries_go_by_what_they_know():
+async def test_without_agents_entries_use_their_cached_state():
     async with running_fleet(engines=1) as fleet:
         await start_agents(fleet, "engine0")
         await fleet.agents.pop("engine0").close()
@@ -104,7 +104,7 @@
         assert statuses == SLOTS * [200]
 
 
-async def test_an_engine_that_loads_gives_no_slots_and_who_waits_goes_elsewhere():
+async def test_an_engine_that_loads_grants_no_slots_and_requests_go_elsewhere():
     async with running_fleet(engines=2) as fleet:
         await start_agents(fleet, "engine0", "engine1")
         slots = fleet.agents["engine0"]._slots
--- a/tests/fleet/test_agents_start.py
+++ b/tests/fleet/test_agents_start.py
@@ -1,8 +1,9 @@
-"""Agents that start all at once, as after a loss of power, beside entries that start too.
+"""Agents and entries that all start at once, as after a power failure.
 
-Each agent read the routes, 52 KB, and the list of targets for itself at its start: 34 of them
-beyond the store's region filled the borders, 14 Mbit/s each, for a second. Entries there heard of
-routes after 0.06 s, had the 6 KB of them after 1.1 to 1.7 s, and turned callers away meanwhile.
+Each agent used to read the routes (52 KB) and the list of targets from the store at its start. 34
+agents outside the store's region saturated the links between regions, 14 Mbit/s each, for a second.
+Entries there learned of new routes after 0.06 s, but received their 6 KB only after 1.1 to 1.7 s,
+and rejected callers until then.
 """
 
 import asyncio
@@ -27,7 +28,7 @@
             assert store_reads("configuration", agent) == store_reads("targets", agent) == 0
 
 
-async def test_agents_that_no_entry_speaks_to_read_the_store_within_a_second():
+async def test_agents_without_updates_of_entries_read_the_store_within_a_second():
     async with running_fleet(engines=2, entries=0) as fleet:
         await start_agents(fleet)
         await asyncio.sleep(1.2)
--- a/tests/fleet/test_origin_return.py
+++ b/tests/fleet/test_origin_return.py
@@ -1,11 +1,11 @@
-"""An origin of weights that goes away while a version spreads, and comes back.
-
-A version was named, the origin went away 2.5 s later for six seconds, and no target had the version
-before its bound, 13.4 s after it was named: the first was ordered to load 0.25 s after it, half two
-seconds later, and callers were refused meanwhile. While the origin was away each host of the first
-three in rank came to take the one before it for dead. From the third second on 24 hosts asked for
-15 chunks over and over, up to ten for one of them, and all of them went on at its return, each
-fetching what others fetched too: modelled, 80 chunks for 64.
+"""An origin of weights that becomes unavailable while a version is distributed, and returns.
+
+The origin failed 2.5 s after a version was named, for six seconds, and no target had the version
+within its bound, 13.4 s after it was named. The first was ordered to load 0.25 s after the bound
+and half of them two seconds later; callers were refused meanwhile. During the outage each of the
+first three hosts in rank concluded that the one before it was dead. From the third second on, 24
+hosts requested 15 chunks repeatedly, up to ten hosts the same chunk. All continued when the origin
+returned, each fetching chunks that others fetched too: in the model, 80 chunks instead of 64.
 """
 
 from dataclasses import replace
@@ -26,13 +26,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_each_chunk_leaves_an_origin_that_was_away_about_once(seed):
-    # Once, and a tenth for those on their way to two hosts as the origin is back.
+def test_an_origin_that_returns_sends_each_chunk_about_once(seed):
+    # Once, plus a tenth for chunks in transit to two hosts when the origin returns.
     assert play(seed).origin_chunks <= 1.1 * CHUNKS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_copy_is_everywhere_soon_after_the_origin_is_back(seed):
-    # What is left of a copy, and then the way of the last chunks from host to host.
+def test_every_host_has_a_copy_soon_after_the_origin_returns(seed):
+    # The rest of a copy, and then the transfer of the last chunks from host to host.
     rest_s = COPY_S - AWAY_S[0]
     assert max(play(seed).completed.values()) <= AWAY_S[1] + rest_s + 2.5
--- a/tests/fleet/test_reloading.py
+++ b/tests/fleet/test_reloading.py
@@ -15,7 +15,7 @@
 
 
 class Loaded:
-    """A settings file that is loaded again and again, and what was made of it."""
+    """A watched settings file, and the settings that were applied from it."""
 
     def __init__(self, path):
         self.path = path
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_change_without_a_signal_is_seen(tmp_path):
+async def test_a_change_without_a_signal_reloads(tmp_path):
     async with watching(tmp_path) as loaded:
         await asyncio.sleep(2.5)
         assert loaded.applied == []
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.looptime
-async def test_an_entry_takes_in_new_bounds():
+async def test_an_entry_applies_new_bounds():
     async with running_fleet() as fleet:
         settings = default_settings()
         settings.fleet.revocation_ms = 1000
--- a/tests/fleet/test_weights_burst.py
+++ b/tests/fleet/test_weights_burst.py
@@ -1,4 +1,4 @@
-"""From a named version to every engine, and from nothing, with origin, pieces, orders failing."""
+"""Loading a version into every engine, also when the origin, pieces or orders fail."""
 
 import asyncio
 
@@ -46,7 +46,7 @@
         assert [engine.busy for engine in engines] == [False] * 4
 
 
-async def test_a_piece_that_turned_bad_where_it_lies_is_staged_again():
+async def test_a_piece_that_is_corrupted_while_staged_is_staged_again():
     async with running_fleet(engines=1) as fleet:
         (engine,) = await with_agents(fleet)
         name_version(fleet, 2)
@@ -56,7 +56,7 @@
         assert engine.loaded == EVERY_PIECE
 
 
-async def test_a_piece_that_came_spoilt_from_the_origin_is_fetched_again():
+async def test_a_piece_that_arrives_corrupt_from_the_origin_is_fetched_again():
     async with running_fleet(engines=2) as fleet:
         engines = await with_agents(fleet)
         fleet.origin.corrupt = {1, 5}
@@ -65,7 +65,7 @@
         assert all(engine.loaded == EVERY_PIECE for engine in engines)
 
 
-async def test_an_origin_that_is_away_for_a_while_is_asked_again():
+async def test_an_origin_that_was_unavailable_is_requested_again():
     async with running_fleet(engines=2) as fleet:
         engines = await with_agents(fleet)
         fleet.origin.faults.outage = Outage.CUT
@@ -96,7 +96,7 @@
         assert fleet.origin.sent == []
 
 
-async def test_an_order_that_is_refused_is_given_anew_from_what_the_engine_says():
+async def test_a_refused_order_is_repeated_with_the_state_that_the_engine_reports():
     async with running_fleet(engines=1) as fleet:
         (engine,) = await with_agents(fleet)
         name_version(fleet, 2)
@@ -106,7 +106,7 @@
         assert engine.weights == {MODEL: 2}
 
 
-async def test_agents_learn_of_a_version_while_the_store_turns_them_away():
+async def test_agents_receive_a_version_while_they_cannot_reach_the_store():
     async with running_fleet(engines=2) as fleet:
         engines = await with_agents(fleet)
         for number in (1, 2):
@@ -116,7 +116,7 @@
         assert [engine.weights[MODEL] for engine in engines] == [2, 2]
 
 
-async def test_agents_read_the_store_themselves_while_no_entry_speaks():
+async def test_agents_read_the_store_while_no_entry_sends_updates():
     async with running_fleet(engines=2) as fleet:
         engines = await with_agents(fleet)
         await fleet.entries[0].close()
@@ -126,7 +126,7 @@
         assert [engine.weights[MODEL] for engine in engines] == [2, 2]
 
 
-async def test_agents_leave_the_store_alone_while_entries_speak():
+async def test_agents_do_not_read_the_store_while_entries_send_updates():
     async with running_fleet(engines=2) as fleet:
         await with_agents(fleet)
         for number in (1, 2):
@@ -140,12 +140,12 @@
         assert max(reads) <= 4
 
 
-async def test_pieces_that_lie_staged_are_used_though_their_engine_is_back_after_its_agent():
-    """After a loss of power many agents were up before their engines, which refused connections.
+async def test_staged_pieces_are_used_although_the_engine_starts_after_its_agent():
+    """After a power failure many agents started before their engines, which refused connections.
 
-    They took nothing for staged (31 times `staged_pieces_unread` from 18 s on) and fetched whole
-    copies anew: the origin sent one copy more, and some engines were ordered to load 2.9 to 5.4 s
-    after the start of their agents, most after 0.5 to 2.0 s.
+    The agents assumed that nothing was staged (`staged_pieces_unread` was logged 31 times from 18 s
+    on) and fetched complete copies again. The origin sent one copy more, and some engines were
+    ordered to load 2.9 to 5.4 s after the start of their agents, most after 0.5 to 2.0 s.
     """
     async with running_fleet(engines=1) as fleet:
         engine = fleet.targets["engine0"]
@@ -159,4 +159,4 @@
         drawn = len(fleet.origin.sent)
         await asyncio.sleep(1.0)
         assert engine.weights == {MODEL: 1}
-        assert len(fleet.origin.sent) <= drawn + 1  # one may be on its way
+        assert len(fleet.origin.sent) <= drawn + 1  # one may be in transit
--- a/tests/spread_running.py
+++ b/tests/spread_running.py
@@ -1,4 +1,4 @@
-"""What the tests of spreading share."""
+"""Helpers shared by the tests of weight distribution."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""When an agent's heartbeats go out, and to whom."""
+"""When an agent sends heartbeats, and to which entries."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class Link:
-    """A link that keeps what is sent on it."""
+    """A link that records the messages sent on it."""
 
     def __init__(self):
         self.closed = asyncio.Event()
@@ -27,7 +27,7 @@
     return sender
 
 
-async def test_each_watcher_hears_at_its_own_interval():
+async def test_each_watcher_receives_heartbeats_at_its_own_interval():
     sender = await start_sender()
     often, seldom = Link(), Link()
     sender.handle_watch(often, Watch("entry-1"))
@@ -38,7 +38,7 @@
     assert 5 <= len(seldom.sent) <= 7
 
 
-async def test_a_change_is_told_to_all_at_once():
+async def test_a_change_is_sent_to_all_watchers_at_once():
     sender = await start_sender()
     seldom = Link()
     sender.handle_watch(seldom, Watch("entry-2", 10_000))
@@ -50,7 +50,7 @@
     assert len(seldom.sent) == 2
 
 
-async def test_nothing_goes_to_a_watcher_that_stopped_or_whose_link_closed():
+async def test_nothing_is_sent_to_a_watcher_that_stopped_or_whose_link_closed():
     sender = await start_sender()
     stopped, gone = Link(), Link()
     for link in (stopped, gone):
--- a/tests/test_request_queue.py
+++ b/tests/test_request_queue.py
@@ -1,4 +1,4 @@
-"""The queue before a target: priorities, fair share, bounds, deadlines and kept slots."""
+"""The queue of a target: priorities, fair shares, bounds, deadlines and reserved slots."""
 
 import asyncio
 from collections import Counter
@@ -17,7 +17,7 @@
 
 
 class Bench:
-    """A queue whose started and dropped requests are written down."""
+    """A queue that records the started and dropped requests."""
 
     def __init__(self, capacity: int = 1, length: int = 64, urgent_share: float = 0.25) -> None:
         self.started: list[str] = []
@@ -48,7 +48,7 @@
         return self.started
 
 
-async def test_urgent_goes_first_and_bulk_last_but_not_never() -> None:
+async def test_urgent_goes_first_and_bulk_last_without_starving() -> None:
     bench = Bench()
     bench.push("first")
     for n in range(3):
@@ -61,7 +61,7 @@
     assert order.index("bulk0") < order.index("normal19")
 
 
-async def test_a_greedy_account_gets_its_share_and_no_more() -> None:
+async def test_an_account_with_many_requests_gets_only_its_share() -> None:
     bench = Bench()
     bench.push("first")
     for n in range(40):
@@ -96,7 +96,7 @@
     assert list(bench.dropped) == ["greedy3"]
 
 
-async def test_a_full_queue_makes_room_for_urgent_work() -> None:
+async def test_a_full_queue_drops_bulk_for_urgent_requests() -> None:
     bench = Bench(length=2)
     bench.push("first")
     bench.push("normal")
@@ -107,7 +107,7 @@
     assert refused is not None
 
 
-async def test_what_cannot_meet_its_deadline_is_refused_at_once() -> None:
+async def test_a_request_that_cannot_meet_its_deadline_is_refused_at_once() -> None:
     bench = Bench()
     for n in range(5):
         bench.push(f"warm{n}")
@@ -120,7 +120,7 @@
     assert bench.push("in-time", left_s=10.0) is None
 
 
-async def test_a_request_that_expires_in_the_queue_is_told_at_its_deadline(
+async def test_a_request_that_expires_in_the_queue_is_dropped_at_its_deadline(
     looptime: float,
 ) -> None:
     bench = Bench()
@@ -134,7 +134,7 @@
     assert bench.started == ["running"]
 
 
-async def test_slots_are_kept_for_urgent_requests_only_while_there_are_any() -> None:
+async def test_slots_are_reserved_for_urgent_requests_only_while_there_are_any() -> None:
     bench = Bench(capacity=4)
     for n in range(6):
         bench.push(f"normal{n}")
@@ -152,7 +152,7 @@
     assert bench.started[-2:] == ["normal4", "normal5"]
 
 
-async def test_a_paused_queue_starts_nothing_and_goes_on_in_order() -> None:
+async def test_a_paused_queue_starts_nothing_and_resumes_in_order() -> None:
     bench = Bench(capacity=2)
     bench.queue.pause()
     bench.push("a")
@@ -162,7 +162,7 @@
     assert bench.started == ["a", "b"]
 
 
-async def test_closing_tells_every_waiting_request() -> None:
+async def test_closing_drops_every_waiting_request() -> None:
     bench = Bench()
     bench.push("running")
     bench.push("waiting")
--- a/tests/test_spread_faults.py
+++ b/tests/test_spread_faults.py
@@ -1,7 +1,7 @@
-"""Faults while a release spreads, singly and in pairs, in memory and under virtual time.
+"""Faults while a release is distributed, single and in pairs, in memory under virtual time.
 
-Whatever happens, every live host ends with every chunk, each as the manifest has it; the origin
-sends four copies at most, and the time is at most twice that without a fault, beyond the outage.
+Under any fault, every live host ends with every chunk and the hashes of the manifest. The origin
+sends four copies at most, and the time without the outage is at most twice the time without faults.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 
 async def kill_with_lag(fleet: SpreadFleet) -> float:
-    """The list goes on showing the dead, at their old addresses, for seconds."""
+    """Replace hosts while the list shows the old ones, at their old addresses, for `LAG_S`."""
     for name in fleet.pick(0.1):
         await fleet.replace_host(name)
     asyncio.get_running_loop().call_later(LAG_S, fleet.tell_members)
@@ -109,7 +109,7 @@
     return await fault(fleet)
 
 
-async def test_a_corrupt_source_is_left_and_passes_nothing_on() -> None:
+async def test_a_corrupt_source_is_avoided_and_its_chunks_are_not_passed_on() -> None:
     async with running(SPEC) as fleet:
         bad = fleet.hosts[fleet.pick(0.05)[0]]
         bad.corrupt()
@@ -124,7 +124,9 @@
 
 
 @pytest.mark.parametrize("prefer", [Prefer.TIME, Prefer.ORIGIN_BYTES])
-async def test_a_release_replaced_midway_stops_and_the_next_arrives(prefer: Prefer) -> None:
+async def test_a_release_replaced_during_distribution_stops_and_the_next_completes(
+    prefer: Prefer,
+) -> None:
     spec = FleetSpec(hosts=12, places=3, prefer=prefer)
     async with running(spec) as fleet:
         old = fleet.publish("market-6")
--- a/tests/test_spread_fleet.py
+++ b/tests/test_spread_fleet.py
@@ -1,4 +1,4 @@
-"""Spreading as whole fleets do it, in memory and under virtual time."""
+"""Distribution of releases in complete fleets, in memory and under virtual time."""
 
 import pytest
 from spread_running import assert_whole, running
--- a/tests/test_target_keeper.py
+++ b/tests/test_target_keeper.py
@@ -1,4 +1,4 @@
-"""An engine that does not do as it is told, seen from callers and from the engine."""
+"""Reconciliation of an engine that does not execute its orders correctly."""
 
 import asyncio
 from typing import Any
@@ -24,7 +24,7 @@
     await asyncio.sleep(10.0)
 
 
-def test_old_release_serves_on_while_the_next_cannot_be_loaded(
+def test_old_release_keeps_serving_while_the_next_cannot_be_loaded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     carry_out = EngineStandIn._carry_out
@@ -44,7 +44,7 @@
     assert not [event for event in verdict.history if isinstance(event, NotRun)]
 
 
-def test_order_that_changes_nothing_is_not_given_at_full_speed(
+def test_order_that_changes_nothing_is_not_repeated_without_a_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     orders = 0
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("kept", [True, False])
-def test_a_target_said_to_check_fences_is_told_on_when_it_does_not(
+def test_a_target_configured_to_check_fences_is_reported_when_it_does_not(
     kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counted: list[int] = []
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -94,7 +94,7 @@
     raise AssertionError("no end")
 
 
-async def test_engine_reads_back_what_it_holds() -> None:
+async def test_engine_reports_its_state() -> None:
     async with engine() as target:
         await target.load(CHUNKS)
         state = await target.client.state()
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("fences", [True, False])
-async def test_old_fence_is_refused_by_one_flavour_only(fences: bool) -> None:
+async def test_old_fence_is_refused_only_by_engines_that_check_fences(fences: bool) -> None:
     async with engine(EngineSpec(fences=fences)) as target:
         await target.load(CHUNKS, fence=7)
         order = LoadOrder(OTHER, ReleaseName("market-6"), 1)
@@ -129,7 +129,7 @@
             await target.client.order(order, 6)
 
 
-async def test_streams_are_whole_and_resume() -> None:
+async def test_streams_are_complete_and_resume() -> None:
     async with engine() as target:
         await target.load(CHUNKS)
         pieces, end = await collect(target.client, generation())
@@ -145,7 +145,7 @@
         assert whole.weights == DIGEST and json.loads(whole.body)["pieces"] == 8
 
 
-async def test_refusals_are_told_from_failures() -> None:
+async def test_refusals_are_distinguished_from_failures() -> None:
     async with engine() as target:
         with pytest.raises(TargetRefused):
             await collect(target.client, generation())
@@ -183,7 +183,7 @@
         assert order == ["first", "urgent", "bulk-1", "bulk-2"]
 
 
-async def test_leaving_a_stream_frees_its_place() -> None:
+async def test_closing_a_stream_frees_its_batch_slot() -> None:
     async with engine(EngineSpec(batch_limit=1)) as target:
         await target.load(CHUNKS)
         async with aclosing(target.client.generate(generation("left", 1000), TIMEOUT_S)) as items:
@@ -234,7 +234,7 @@
         assert target.standin.runs[-1].weights == [DIGEST, OTHER]
 
 
-async def test_paused_engine_goes_on_where_it_was(looptime: float) -> None:
+async def test_paused_engine_continues_where_it_stopped(looptime: float) -> None:
     async with engine() as target:
         await target.load(CHUNKS)
         running = asyncio.create_task(collect(target.client, generation(pieces=20)))
@@ -246,7 +246,7 @@
         assert (await running)[1].pieces == 20
 
 
-async def test_plain_service_records_doubled_runs() -> None:
+async def test_plain_service_records_duplicate_runs() -> None:
     network = MemoryNetwork()
     service = PlainStandIn(network)
     await service.start()
@@ -284,7 +284,7 @@
         PIECE % 0 + "event: end\ndata: 2\n\n",
     ],
 )
-async def test_no_stream_with_a_fault_is_taken_for_whole(body: str) -> None:
+async def test_no_faulty_stream_is_accepted_as_complete(body: str) -> None:
     network = MemoryNetwork()
 
     async def answer(_: Request) -> Response:
@@ -299,7 +299,7 @@
     await server.close()
 
 
-async def test_restarted_engine_knows_of_nothing_and_says_it_is_another() -> None:
+async def test_restarted_engine_has_no_records_and_reports_another_boot() -> None:
     async with engine() as target:
         await target.load(CHUNKS)
         await collect(target.client, generation())
--- a/tests/test_weight_sources.py
+++ b/tests/test_weight_sources.py
@@ -54,7 +54,7 @@
     return manifest.chunk_hashes[0].hex()
 
 
-async def test_a_release_comes_whole_and_is_counted() -> None:
+async def test_a_release_arrives_complete_and_is_counted() -> None:
     async with source() as origin:
         manifest = await origin.client.manifest(ReleaseName("market-7"))
         assert await origin.client.manifest_by_digest(Digest(manifest.digest)) == manifest
@@ -64,7 +64,7 @@
         assert origin.standin.stats()["sent_bytes"] == RELEASE.size_bytes
 
 
-async def test_what_is_not_there_is_said_so() -> None:
+async def test_an_unknown_release_or_chunk_is_reported_as_unknown() -> None:
     async with source() as origin:
         with pytest.raises(UnknownDigest):
             await origin.client.manifest(ReleaseName("market-8"))
@@ -72,7 +72,7 @@
             await origin.client.chunk("00" * 32)
 
 
-async def test_releases_share_the_asked_share_of_chunks() -> None:
+async def test_releases_share_the_requested_fraction_of_chunks() -> None:
     async with source() as origin:
         other = SyntheticRelease("market-8", 8 * CHUNK, CHUNK, 2, "market-7", shared=0.25)
         manifest = origin.standin.add_release(other)
@@ -96,7 +96,7 @@
         assert min(finished) > 0.9
 
 
-async def test_stalled_and_crawling_sources_are_noticed(looptime: float) -> None:
+async def test_stalled_and_slow_sources_time_out(looptime: float) -> None:
     async with source() as origin:
         origin.standin.faults.stall = True
         with pytest.raises(TimedOut):
@@ -125,7 +125,7 @@
         await store.client.chunk(first_hash(store.manifest))
 
 
-async def test_a_source_lost_mid_way_is_unavailable() -> None:
+async def test_a_source_lost_during_a_transfer_is_unavailable() -> None:
     async with source(bytes_per_s=CHUNK) as origin:
         fetching = asyncio.create_task(origin.client.chunk(first_hash(origin.manifest)))
         await asyncio.sleep(0.3)
