--- a/src/lacewinggw/agent/bitmaps.py
+++ b/src/lacewinggw/agent/bitmaps.py
@@ -16,8 +16,8 @@
 def decode_bitmap(bitmap: bytes) -> list[int]:
     """Return the indexes of the set bits; some may be beyond the last chunk."""
     return [
-        at * BITS_PER_BYTE + bit
-        for at, byte in enumerate(bitmap)
+        byte_index * BITS_PER_BYTE + bit
+        for byte_index, byte in enumerate(bitmap)
         for bit in range(BITS_PER_BYTE)
         if byte >> bit & 1
     ]
--- a/src/lacewinggw/agent/downloads.py
+++ b/src/lacewinggw/agent/downloads.py
@@ -111,7 +111,7 @@
         self._context = context
         self._on_chunk = on_chunk
         self._count_waiting_uploads = count_waiting_uploads
-        self._spread = context.make_spread(
+        self._scheduler = context.make_spread(
             manifest.chunk_sizes, context.rules, context.place, context.rng, _now()
         )
         self._started_at = _now()
@@ -124,7 +124,7 @@
     @property
     def spread(self) -> ChunkScheduler:
         """The scheduling policy of the release, with its state."""
-        return self._spread
+        return self._scheduler
 
     def close(self) -> None:
         """Cancel the requests in flight and request no further chunks."""
@@ -143,14 +143,14 @@
     async def add_local_chunks(self, local: LocalChunks) -> None:
         """Add the chunks that were on this host before, if they match their hash."""
         for index, data in (await local.read(self.digest)).items():
-            if index >= self._spread.chunk_count or index in self._spread.held:
+            if index >= self._scheduler.chunk_count or index in self._scheduler.held:
                 continue
             if await self._context.chunks.put(self.manifest.chunk_hashes[index], data):
                 self._add_chunk(None, index)
 
     def set_topology(self, topology: Topology) -> None:
         """Set the topology of the hosts that must hold the release."""
-        self._spread.set_topology(topology, _now())
+        self._scheduler.set_topology(topology, _now())
         self.advance()
 
     # ---- neighbours -----------------------------------------------------------------------
@@ -164,21 +164,21 @@
     def request_missing_have_maps(self, hosts: frozenset[HostId]) -> None:
         """Request the have map of each of `hosts` that has not sent one."""
         for host in hosts:
-            state = self._spread.neighbours.get(host)
+            state = self._scheduler.neighbours.get(host)
             if state is None or not state.has_reported:
                 self.request_have_map(host)
 
     def neighbour_down(self, host: HostId) -> None:
         """Remove a neighbour whose link is closed."""
-        self._spread.remove_neighbour(host)
+        self._scheduler.remove_neighbour(host)
         self.advance()
 
     def handle_have(self, remote: Identity, have: messages.Have) -> None:
         """Record the chunks that a neighbour reports as held."""
         host = HostId(remote.host)
-        self._spread.add_neighbour(host, Place(remote.place), Incarnation(remote.incarnation))
+        self._scheduler.add_neighbour(host, Place(remote.place), Incarnation(remote.incarnation))
         indexes = decode_bitmap(have.bitmap) if have.bitmap is not None else have.added or []
-        self._spread.record_held_chunks(host, indexes, _now(), have.waiting)
+        self._scheduler.record_held_chunks(host, indexes, _now(), have.waiting)
         link = self._context.mesh.link(host)
         if have.wants_reply and link is not None:
             link.notify(self._full_have_map(wants_reply=False))
@@ -186,11 +186,11 @@
 
     def announce(self) -> None:
         """Send the neighbours the chunks added since the last announcement."""
-        fresh, self._unannounced = self._unannounced, []
-        if not fresh:
+        new_indexes, self._unannounced = self._unannounced, []
+        if not new_indexes:
             return
-        for host, state in self._spread.neighbours.items():
-            update = [index for index in fresh if index not in state.chunks]
+        for host, state in self._scheduler.neighbours.items():
+            update = [index for index in new_indexes if index not in state.chunks]
             link = self._context.mesh.link(host)
             if update and link is not None:
                 have = messages.Have(
@@ -202,7 +202,7 @@
                 link.notify(have)
 
     def _full_have_map(self, wants_reply: bool) -> messages.Have:
-        bitmap = encode_bitmap(self._spread.held, self._spread.chunk_count)
+        bitmap = encode_bitmap(self._scheduler.held, self._scheduler.chunk_count)
         return messages.Have(
             self.digest,
             self._next_sequence(),
@@ -222,7 +222,7 @@
         """Execute the actions that the policy decides on now."""
         if self._closed:
             return
-        for action in self._spread.decide(_now()):
+        for action in self._scheduler.decide(_now()):
             match action:
                 case RequestChunk(source, index):
                     task = asyncio.get_running_loop().create_task(self._fetch(action))
@@ -231,10 +231,10 @@
                     self._context.metrics.retry(RetryReason.CHUNK_STALLED)
                     self._cancel(source, index)
 
-    async def _fetch(self, ask: RequestChunk) -> None:
-        source, index = ask.source, ask.index
+    async def _fetch(self, request: RequestChunk) -> None:
+        source, index = request.source, request.index
         try:
-            data = await self._receive(ask)
+            data = await self._receive(request)
             if not await self._context.chunks.put(self.manifest.chunk_hashes[index], data):
                 raise CorruptChunk(f"chunk {index} of {self.digest} from {source}")
             await self._context.downlink.receive(len(data))
@@ -247,10 +247,10 @@
             self._add_chunk(source, index)
         self.advance()
 
-    async def _receive(self, ask: RequestChunk) -> bytes:
-        match ask.source:
+    async def _receive(self, request: RequestChunk) -> bytes:
+        match request.source:
             case Neighbour(host):
-                return await self._receive_from(host, ask)
+                return await self._receive_from(host, request)
             case Origin():
                 source = self._context.origin
             case Store():
@@ -258,23 +258,23 @@
                     self._context.store is not None
                 ), "the policy chose a weight store that does not exist"
                 source = self._context.store
-        return await source.fetch(self.manifest, ask.index)
+        return await source.fetch(self.manifest, request.index)
 
-    async def _receive_from(self, host: HostId, ask: RequestChunk) -> bytes:
+    async def _receive_from(self, host: HostId, request: RequestChunk) -> bytes:
         link = self._context.mesh.link(host)
         if link is None:
             raise LinkBusy(f"the link to {host} is closed")
-        size = self.manifest.chunk_sizes[ask.index]
-        call = link.open(messages.FetchChunk(self.digest, ask.index, ask.endgame))
+        size = self.manifest.chunk_sizes[request.index]
+        call = link.open(messages.FetchChunk(self.digest, request.index, request.endgame))
         received = bytearray()
         try:
             async for piece in call.replies():
                 received += piece.data
                 if len(received) > size:
                     raise CorruptChunk(
-                        f"chunk {ask.index} from {host} is longer than its manifest says"
+                        f"chunk {request.index} from {host} is longer than the manifest says"
                     )
-                self._spread.record_progress(ask.source, ask.index, _now())
+                self._scheduler.record_progress(request.source, request.index, _now())
         finally:
             call.abandon()
         return bytes(received)
@@ -285,27 +285,27 @@
             "chunk_failed", source=str(source), index=index, failure=failure.value, error=error
         )
         self._context.metrics.retry(retry_reason(source, failure))
-        self._spread.record_failure(source, index, failure, _now())
+        self._scheduler.record_failure(source, index, failure, _now())
 
     def _add_chunk(self, source: Source | None, index: int) -> None:
         """Add a verified chunk at every index of the release that has the same hash."""
-        wanted = self.manifest.chunk_hashes[index]
+        new_hash = self.manifest.chunk_hashes[index]
         for each, chunk_hash in enumerate(self.manifest.chunk_hashes):
-            if chunk_hash != wanted or each in self._spread.held:
+            if chunk_hash != new_hash or each in self._scheduler.held:
                 continue
-            for cancel in self._spread.record_arrival(
+            for cancel in self._scheduler.record_arrival(
                 source if each == index else None, each, _now()
             ):
                 self._cancel(cancel.source, cancel.index)
             self._unannounced.append(each)
             self._on_chunk(self.digest, each)
-        if self._spread.is_complete and not self.complete.is_set():
+        if self._scheduler.is_complete and not self.complete.is_set():
             self._ended_at = _now()
             self.complete.set()
 
     def _count_bytes(self, source: Source, size: int) -> None:
         self.traffic.downloaded_bytes += size
-        self._context.metrics.count("weights_bytes", size, source=self._kind_of(source))
+        self._context.metrics.count("weights_bytes", size, source=self._source_kind(source))
         match source:
             case Origin():
                 self.traffic.origin_bytes += size
@@ -314,7 +314,7 @@
             case Neighbour(host) if self._is_in_other_place(host):
                 self.traffic.cross_place_bytes += size
 
-    def _kind_of(self, source: Source) -> str:
+    def _source_kind(self, source: Source) -> str:
         match source:
             case Origin():
                 return "origin"
@@ -324,7 +324,7 @@
                 return "other-place" if self._is_in_other_place(host) else "neighbour"
 
     def _is_in_other_place(self, host: HostId) -> bool:
-        state = self._spread.neighbours.get(host)
+        state = self._scheduler.neighbours.get(host)
         return state is not None and state.place != self._context.place
 
     def _cancel(self, source: Source, index: int) -> None:
@@ -343,33 +343,33 @@
 
     def report(self) -> messages.SpreadReport:
         """Return the progress of this release on this host."""
-        end = self._ended_at if self._ended_at is not None else _now()
-        elapsed = max(end - self._started_at, 1e-3)
+        ended_at = self._ended_at if self._ended_at is not None else _now()
+        elapsed = max(ended_at - self._started_at, 1e-3)
         return messages.SpreadReport(
             release=self.manifest.name,
             digest=self.digest,
-            chunks_held=len(self._spread.held),
-            chunk_count=self._spread.chunk_count,
+            chunks_held=len(self._scheduler.held),
+            chunk_count=self._scheduler.chunk_count,
             origin_bytes=self.traffic.origin_bytes,
             store_bytes=self.traffic.store_bytes,
             downloaded_bytes=self.traffic.downloaded_bytes,
             uploaded_bytes=self.traffic.uploaded_bytes,
             cross_place_bytes=self.traffic.cross_place_bytes,
-            stalls=self._spread.stalls,
-            corrupt_chunks=self._spread.corrupt_chunks,
-            bad_sources=self._spread.bad_sources,
+            stalls=self._scheduler.stalls,
+            corrupt_chunks=self._scheduler.corrupt_chunks,
+            bad_sources=self._scheduler.bad_sources,
             rate_bytes_per_s=self.traffic.downloaded_bytes / elapsed,
             held_up_by=self._describe_blockage(),
         )
 
     def _describe_blockage(self) -> str:
-        missing = self._spread.unavailable_chunks(_now())
+        missing = self._scheduler.unavailable_chunks(_now())
         if not missing:
             return ""
-        first = ", ".join(str(index) for index in missing[:MISSING_CHUNKS_LISTED])
-        failures = self._spread.source_failures
+        listed = ", ".join(str(index) for index in missing[:MISSING_CHUNKS_LISTED])
+        failures = self._scheduler.source_failures
         reason = (
-            f"{len(missing)} chunks of {self.manifest.name} are held by no host, first {first}; "
+            f"{len(missing)} chunks of {self.manifest.name} are held by no host, first {listed}; "
             f"the origin and the weight store failed {failures} times"
         )
         return str(NoSource(reason))
--- a/src/lacewinggw/agent/executor.py
+++ b/src/lacewinggw/agent/executor.py
@@ -47,14 +47,14 @@
         target_status: TargetStatus,
         engine: EngineClient,
         plain: PlainClient | None,
-        book: RunRegistry,
+        registry: RunRegistry,
         metrics: Metrics,
         on_ended: Callable[[Run], None],
     ) -> None:
         self._target_status = target_status
         self._engine = engine
         self._plain = plain
-        self._book = book
+        self._registry = registry
         self._window = settings.requests.piece_window
         self._on_ended = on_ended
         self.on_first_piece: Callable[[float], None] = lambda seconds: None
@@ -77,7 +77,7 @@
             raise refused.error()
 
     def submit(self, run: Run) -> None:
-        """Start or queue a run that the run book has accepted."""
+        """Start or queue a run that the registry has accepted."""
         now = asyncio.get_running_loop().time()
         refused = self._queue.push(run.head, run, run.deadline, now)
         if refused is not None:
@@ -119,7 +119,7 @@
 
     def _reject(self, run: Run, error: LacewingError) -> None:
         """Fail a run that has not started, and record that it never will."""
-        self._book.refuse(run.id, asyncio.get_running_loop().time())
+        self._registry.refuse(run.id, asyncio.get_running_loop().time())
         run.fail(error)
         self._on_ended(run)
 
@@ -141,10 +141,10 @@
         timer = loop.call_at(run.deadline, self._handle_deadline, run)
         try:
             self._mark_started(run)
-            began_at = loop.time()
+            started_at = loop.time()
             run.complete(await self._run_on_target(run))
-            run.ran_s = loop.time() - began_at
-            self._book.finish(run.id, loop.time())
+            run.ran_s = loop.time() - started_at
+            self._registry.finish(run.id, loop.time())
         except LacewingError as error:
             self._record_failure(run, error)
         except asyncio.CancelledError:
@@ -171,16 +171,16 @@
         refusal = self._find_obstacle(run)
         if refusal is not None:
             raise refusal
-        if not self._book.start(run.id, asyncio.get_running_loop().time()):
+        if not self._registry.start(run.id, asyncio.get_running_loop().time()):
             raise Withdrawn("withdrawn before it started")
         run.started = True
 
     def _record_failure(self, run: Run, error: LacewingError) -> None:
         now = asyncio.get_running_loop().time()
         if error.outcome is Outcome.NOT_RUN:
-            self._book.refuse(run.id, now)
+            self._registry.refuse(run.id, now)
         else:
-            self._book.finish(run.id, now)
+            self._registry.finish(run.id, now)
         run.fail(error)
 
     def _handle_deadline(self, run: Run) -> None:
@@ -201,7 +201,7 @@
         """Run on the engine; raise unless the same weights were active from start to end."""
         head = run.head
         loop = asyncio.get_running_loop()
-        asked_at = loop.time()
+        requested_at = loop.time()
         weights = run.weights_digest = self._target_status.active_digest
         generation = Generation(
             RequestId(head.request_id), run.body, int(head.priority), head.resume_from
@@ -214,7 +214,7 @@
                         if first != run.first_index + len(run.pieces):
                             raise AnswerIncomplete(f"the engine skipped to piece {first}")
                         if not run.pieces:
-                            self.on_first_piece(loop.time() - asked_at)
+                            self.on_first_piece(loop.time() - requested_at)
                         self.on_bytes(sum(map(len, pieces)))
                         run.add(pieces)
                         await run.wait_for_listeners(self._window)
--- a/src/lacewinggw/agent/links.py
+++ b/src/lacewinggw/agent/links.py
@@ -6,7 +6,7 @@
 from lacewinggw.decisions.weightbandwidth import WeightBandwidthLimiter, WeightBandwidthRules
 
 CATCH_UP_S = 0.02  # timers fire some ms late for each slice; up to this much is made up for
-BURST_S = 0.25  # chunks that arrive together from several neighbours are not counted one by one
+BURST_S = 0.25  # chunks that arrive together from several neighbours are recorded as one burst
 
 Rate = Callable[[], float]
 
@@ -39,8 +39,8 @@
         await _sleep_until(self._free_at)
 
 
-async def _sleep_until(moment: float) -> None:
-    delay = moment - _now()
+async def _sleep_until(time_s: float) -> None:
+    delay = time_s - _now()
     if delay > 0:
         await asyncio.sleep(delay)
 
--- a/src/lacewinggw/agent/mesh.py
+++ b/src/lacewinggw/agent/mesh.py
@@ -68,15 +68,15 @@
         self.dial()
 
     def dial(self) -> None:
-        """Dial the wanted hosts without a link, except those that are to dial first."""
+        """Dial wanted hosts that have no link, unless they are suspect or are to dial first."""
         now = asyncio.get_running_loop().time()
-        me = self._node.identity.host
+        own_host = self._node.identity.host
         for host, since in self._wanted.items():
             if self.link(host) is not None or host in self._dialling:
                 continue
             if host not in self._addresses or self._suspect_until.get(host, 0.0) > now:
                 continue
-            if host < me and now - since < DIAL_GRACE_S:
+            if host < own_host and now - since < DIAL_GRACE_S:
                 continue
             task = asyncio.get_running_loop().create_task(self._dial(host))
             self._dialling[host] = task
@@ -84,13 +84,13 @@
     def register(self, link: PeerLink) -> None:
         """Add a link over which a host began to exchange weights."""
         host = HostId(link.remote.host)
-        known = self.link(host)
-        if known is link:
+        existing = self.link(host)
+        if existing is link:
             return
-        if known is not None and known.remote.incarnation == link.remote.incarnation:
+        if existing is not None and existing.remote.incarnation == link.remote.incarnation:
             return
-        if known is not None:
-            self._drop_link(host, known)
+        if existing is not None:
+            self._drop_link(host, existing)
         self._links[host] = link
         self._suspect_until.pop(host, None)
         task = asyncio.get_running_loop().create_task(self._watch(host, link))
--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -45,14 +45,14 @@
     if host in state.draining:
         return None
     for service, release in state.assignments_of(host):
-        upcoming = state.next_releases_of(service).get(host, "")
+        next_release = state.next_releases_of(service).get(host, "")
         declared = state.services[service]
         return DesiredState(
             service,
             release,
             state.release_digest(release),
-            upcoming,
-            state.release_digest(upcoming),
+            next_release,
+            state.release_digest(next_release),
             messages.EngineRole(declared.role).name.lower(),
             frozenset(declared.adapters or ()),
         )
@@ -227,10 +227,10 @@
 
     def _on_members(self, members: MemberList) -> None:
         self.spreader.set_members(members)
-        mine = self._find_own_member(members)
-        if mine is None:
+        own_member = self._find_own_member(members)
+        if own_member is None:
             return
-        if mine.state is MemberState.LEAVING:
+        if own_member.state is MemberState.LEAVING:
             self._listed_as_leaving = not self.draining or self._listed_as_leaving
             self.begin_drain()
         elif self._listed_as_leaving:
@@ -242,8 +242,8 @@
 
     def _on_changes(self, state: FleetState, entries: Sequence[messages.LogEntry]) -> None:
         """Apply only changes that can concern this host: most are about other services."""
-        own = {service for service, _ in state.assignments_of(self._settings.process.host)}
-        if may_change_placements(entries) or declares_any(entries, own):
+        own_services = {service for service, _ in state.assignments_of(self._settings.process.host)}
+        if may_change_placements(entries) or declares_any(entries, own_services):
             self._apply_state(state)
 
     def _apply_state(self, state: FleetState) -> None:
--- a/src/lacewinggw/agent/queue.py
+++ b/src/lacewinggw/agent/queue.py
@@ -40,12 +40,12 @@
         """Return the refusal as an error."""
         match self.reason:
             case Refusal.DEADLINE:
-                said = "the request would not finish by its deadline"
+                text = "the request would not finish by its deadline"
             case Refusal.DRAINING:
-                said = "the target is draining"
+                text = "the target is draining"
             case _:
-                said = "the queue of the target is full"
-        return RequestRefused.because(self.reason, said, self.retry_after_ms)
+                text = "the queue of the target is full"
+        return RequestRefused.because(self.reason, text, self.retry_after_ms)
 
 
 class TargetQueue(Generic[Payload]):
@@ -187,10 +187,10 @@
 
     def _start_waiting(self, now: float) -> None:
         while self._waiting and not self._paused:
-            least = (
+            lowest = (
                 Priority.BULK if self._slots.has_free_slot(Priority.BULK, now) else Priority.URGENT
             )
-            item = self._queue.pop(least) if self._slots.has_free_slot(least, now) else None
+            item = self._queue.pop(lowest) if self._slots.has_free_slot(lowest, now) else None
             if item is None:
                 return
             if can_finish(item.deadline, now, 0.0, 0.0):
@@ -216,13 +216,13 @@
         return QueueRefusal(reason, max(MIN_RETRY_MS, int(wait_s * MS_PER_S)))
 
     def _schedule_expiry(self, now: float) -> None:
-        first = min((item.deadline for item in self._waiting.values()), default=None)
+        next_deadline = min((item.deadline for item in self._waiting.values()), default=None)
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
             self._expiry_timer = None
-        if first is not None:
+        if next_deadline is not None:
             loop = asyncio.get_running_loop()
-            self._expiry_timer = loop.call_at(first, self._drop_expired)
+            self._expiry_timer = loop.call_at(next_deadline, self._drop_expired)
 
     def _drop_expired(self) -> None:
         self._expiry_timer = None
--- a/src/lacewinggw/agent/reconciler.py
+++ b/src/lacewinggw/agent/reconciler.py
@@ -212,9 +212,9 @@
             staged.add(index)
 
     async def _load(self, wanted: DesiredState, digest: Digest) -> None:
-        named = wanted.release if digest == wanted.digest else wanted.next_release
+        release = wanted.release if digest == wanted.digest else wanted.next_release
         chunk_count = self._spreader.chunk_count(digest)
-        await self._order(LoadOrder(digest, ReleaseName(named), chunk_count))
+        await self._order(LoadOrder(digest, ReleaseName(release), chunk_count))
 
     async def _unload(self, digests: tuple[str, ...]) -> None:
         for digest in digests:
@@ -228,7 +228,7 @@
             await self._check_fence(fence)
 
     async def _check_fence(self, fence: int) -> None:
-        """Warn when a target that should check fences by its settings does not keep them.
+        """Warn when a target that is configured to check fences does not record them.
 
         Orders are safe without fences, since the agent gives none based on an old configuration;
         but an operator who sets `target_fences` relies on a second safeguard that is missing.
--- a/src/lacewinggw/agent/requests.py
+++ b/src/lacewinggw/agent/requests.py
@@ -74,7 +74,7 @@
         self._identity = identity
         self._window = settings.requests.piece_window
         self._reservation_s = settings.requests.reservation_ms / MS_PER_S
-        self._book = RunRegistry(Incarnation(identity.incarnation), rng)
+        self._registry = RunRegistry(Incarnation(identity.incarnation), rng)
         self._runs: dict[RunId, Run] = {}
         self._retained = RetainedRuns()
         self._draining = False
@@ -82,9 +82,9 @@
         self._all_done = asyncio.Event()
         self._all_done.set()
         metrics.read_gauge("pieces_held", self._count_held_pieces)
-        metrics.read_gauge("reservations", lambda: self._book.reserved)
+        metrics.read_gauge("reservations", lambda: self._registry.reserved)
         self._executor = Executor(
-            settings, target_status, engine, plain, self._book, metrics, self._on_run_ended
+            settings, target_status, engine, plain, self._registry, metrics, self._on_run_ended
         )
 
     @classmethod
@@ -139,7 +139,7 @@
             async with asyncio.timeout(limit_s):
                 await asyncio.sleep(MIN_DRAIN_S)
                 await self._all_done.wait()
-                while self._book.count_open(self._now()):  # noqa: ASYNC110
+                while self._registry.count_open(self._now()):  # noqa: ASYNC110
                     await asyncio.sleep(RESERVATION_POLL_S)
         except TimeoutError:
             return False
@@ -174,30 +174,32 @@
     def _reserve(self, head: messages.RequestHead) -> messages.Reservation:
         _check_head(head)
         self._check_serving(head)
-        if self._book.reserved >= MAX_RESERVATIONS:
+        if self._registry.reserved >= MAX_RESERVATIONS:
             reason = "too many reservations are open at the target"
             raise Overloaded(reason, retry_after_ms=NOT_SERVING_RETRY_MS)
-        life_s = max(self._reservation_s, head.deadline_ms / MS_PER_S)
-        nonce = self._book.reserve(life_s, self._now())
+        lifetime_s = max(self._reservation_s, head.deadline_ms / MS_PER_S)
+        nonce = self._registry.reserve(lifetime_s, self._now())
         return messages.Reservation(
             nonce=nonce,
             host=self._identity.host,
             incarnation=self._identity.incarnation,
-            expires_in_ms=int(life_s * MS_PER_S),
+            expires_in_ms=int(lifetime_s * MS_PER_S),
             digest=self._target_status.active_digest,
         )
 
-    def _withdraw(self, asked: messages.Withdraw) -> messages.Withdrawal:
-        mine = self._identity.incarnation
-        if asked.incarnation != mine:
-            return messages.Withdrawal(messages.Standing.UNKNOWN, mine)
-        nonce = asked.nonce or ""
-        name = RunId(nonce or asked.request_id or "")
+    def _withdraw(self, request: messages.Withdraw) -> messages.Withdrawal:
+        own_incarnation = self._identity.incarnation
+        if request.incarnation != own_incarnation:
+            return messages.Withdrawal(messages.Standing.UNKNOWN, own_incarnation)
+        nonce = request.nonce or ""
+        name = RunId(nonce or request.request_id or "")
         run = self._runs.get(name) or self._retained.get(name)
-        standing = self._book.withdraw(name, self._now(), bool(nonce))
+        standing = self._registry.withdraw(name, self._now(), bool(nonce))
         if run is not None and standing == messages.Standing.NEVER_STARTED:
             self._executor.withdraw(run)
-        return messages.Withdrawal(standing, mine, run.finish if run is not None else None)
+        return messages.Withdrawal(
+            standing, own_incarnation, run.finish if run is not None else None
+        )
 
     async def _answer(
         self, exchange: Exchange, head: messages.RequestHead, body: bytes, nonce: str
@@ -207,11 +209,11 @@
         listener = RunListener(run, exchange, head.resume_from, self._window)
         self._listener_count += 1
         self._all_done.clear()
-        follower = asyncio.get_running_loop().create_task(_read_follow_ups(exchange, listener))
+        reader = asyncio.get_running_loop().create_task(_read_follow_ups(exchange, listener))
         try:
             await listener.send_all()
         finally:
-            follower.cancel()
+            reader.cancel()
             self._listener_count -= 1
             if head.repeatable and not run.ended and not run.listeners:
                 self._executor.cancel(run)
@@ -227,13 +229,13 @@
                 raise KeyReused("the reservation was used for a request with different content")
             return run
         now = self._now()
-        obstacle = self._book.look_up(name, now, bool(nonce))
-        if obstacle is not None:
-            raise _obstacle_error(obstacle)
+        rejection = self._registry.look_up(name, now, bool(nonce))
+        if rejection is not None:
+            raise _rejection_error(rejection)
         self._check_serving(head)
         deadline = now + min(head.deadline_ms / MS_PER_S, MAX_DEADLINE_S)
         self._executor.check_capacity(head, deadline)
-        self._book.take(name, now, bool(nonce))
+        self._registry.take(name, now, bool(nonce))
         run = Run(name, head, body, digest, deadline)
         self._runs[name] = run
         self._all_done.clear()
@@ -282,10 +284,10 @@
         raise ProtocolViolation("the request has no id, no service or a negative resume position")
 
 
-def _obstacle_error(obstacle: AlreadyTaken | Rejected) -> LacewingError:
-    if isinstance(obstacle, AlreadyTaken):
+def _rejection_error(rejection: AlreadyTaken | Rejected) -> LacewingError:
+    if isinstance(rejection, AlreadyTaken):
         return AnswerGone("the request ran here, but no complete answer is kept")
-    match obstacle.cause:
+    match rejection.cause:
         case RejectionCause.WITHDRAWN:
             return Withdrawn("withdrawn before it started")
         case RejectionCause.LAPSED:
--- a/src/lacewinggw/agent/runs.py
+++ b/src/lacewinggw/agent/runs.py
@@ -93,8 +93,8 @@
     async def wait_for_listeners(self, window: int) -> None:
         """Wait while every listener is more than `window` pieces behind."""
         while self.listeners and not self.ended:
-            behind = min(listener.backlog for listener in self.listeners)
-            if behind <= window:
+            backlog = min(listener.backlog for listener in self.listeners)
+            if backlog <= window:
                 return
             self._backlog_reduced = asyncio.get_running_loop().create_future()
             await self._backlog_reduced
@@ -119,7 +119,7 @@
         self._credit = credit
         self._sent_weights = False
         self._stopped = False
-        self._waiting: asyncio.Future[None] | None = None
+        self._wakeup: asyncio.Future[None] | None = None
 
     @property
     def backlog(self) -> int:
@@ -138,8 +138,8 @@
 
     def wake(self) -> None:
         """Check again for pieces that can be sent."""
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result(None)
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
     async def send_all(self) -> None:
         """Send every piece and the finish; raise the run's error, or `CallerLeft`."""
@@ -153,8 +153,8 @@
                     raise CallerLeft("the caller cancelled the request")
                 if run.ended and (self.backlog <= 0 or run.error is not None):
                     break
-                self._waiting = loop.create_future()
-                await self._waiting
+                self._wakeup = loop.create_future()
+                await self._wakeup
         finally:
             run.listeners.discard(self)
             run.note_sent()
--- a/src/lacewinggw/agent/uploads.py
+++ b/src/lacewinggw/agent/uploads.py
@@ -71,7 +71,7 @@
         self.find_chunk = find_chunk
         self._held_by = held_by
         self._on_upload = on_upload
-        self._stuck = metrics.counter("uploads_stuck")
+        self._stuck_uploads = metrics.counter("uploads_stuck")
         self._waiting: dict[UploadRequest, _Upload] = {}
         self._arrived = asyncio.Event()
         self._loop = Background("uploads", self._run)
@@ -121,34 +121,34 @@
         self._queue.forget(digest)
 
     async def _run(self) -> None:
-        turns: deque[_Upload] = deque()
+        active: deque[_Upload] = deque()
         while True:
-            self._start_uploads(turns)
-            if not turns:
+            self._start_uploads(active)
+            if not active:
                 self._arrived.clear()
                 await self._arrived.wait()
                 continue
-            upload = turns.popleft()
+            upload = active.popleft()
             if upload.is_over:
                 continue
             try:
-                is_whole = await self._send_slice(upload)
+                is_complete = await self._send_slice(upload)
             except LacewingError as error:
                 upload.exchange.finish(error.to_failure())
                 upload.done.set()
                 continue
-            if is_whole:
+            if is_complete:
                 upload.done.set()
             else:
-                turns.append(upload)
+                active.append(upload)
 
-    def _start_uploads(self, turns: deque[_Upload]) -> None:
+    def _start_uploads(self, active: deque[_Upload]) -> None:
         """Start queued uploads, up to `CONCURRENT_UPLOADS` at once."""
-        while len(turns) < CONCURRENT_UPLOADS:
+        while len(active) < CONCURRENT_UPLOADS:
             request = self._queue.take(self._held_by)
             if request is None:
                 return
-            turns.append(self._waiting[request])
+            active.append(self._waiting[request])
 
     async def _send_slice(self, upload: _Upload) -> bool:
         """Send the next slice of a chunk; return whether it was the last."""
@@ -176,10 +176,10 @@
             async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await upload.exchange.link.drain()
         except TimeoutError:
-            self._stuck.add()
+            self._stuck_uploads.add()
             host = upload.exchange.link.remote.host
             raise ConnectionLost(f"{host} does not read the chunk that it requested") from None
 
     def _slice_bytes(self) -> int:
-        fitting = int(self._rate() * SLICE_S)
-        return max(MIN_SLICE_BYTES, min(MAX_SLICE_BYTES, fitting))
+        slice_bytes = int(self._rate() * SLICE_S)
+        return max(MIN_SLICE_BYTES, min(MAX_SLICE_BYTES, slice_bytes))
--- a/src/lacewinggw/agent/weights.py
+++ b/src/lacewinggw/agent/weights.py
@@ -176,10 +176,10 @@
             self._stop(digest)
         if due == self._due:
             return
-        fresh = due.keys() - self._due.keys()
+        added = due.keys() - self._due.keys()
         self._due = dict(due)
         self._derive_topologies()
-        for digest in fresh:
+        for digest in added:
             task = asyncio.get_running_loop().create_task(self._find_manifest(due[digest]))
             self._searches[digest] = task
         self._drop_unused_chunks()
@@ -322,7 +322,7 @@
     # ---- messages of other hosts ----------------------------------------------------------
 
     async def handle(self, exchange: Exchange) -> None:
-        """Handle another host's requests for manifests and chunks, and its have maps."""
+        """Handle another host's requests for manifests and chunks, cancellations and have maps."""
         match exchange.message:
             case messages.Have() as have:
                 self._handle_have(exchange, have)
@@ -382,7 +382,7 @@
     async def _run(self) -> None:
         """Announce often, decide at every tick, and request missing have maps at an interval."""
         loop = asyncio.get_running_loop()
-        tick_at = greet_at = loop.time()
+        tick_at = request_at = loop.time()
         while True:
             await asyncio.sleep(ANNOUNCE_INTERVAL_S if self._is_busy else DECIDE_INTERVAL_S)
             for download in list(self._downloads.values()):
@@ -391,8 +391,8 @@
                 continue
             tick_at = loop.time() + DECIDE_INTERVAL_S
             self._tick()
-            if loop.time() >= greet_at:
-                greet_at = loop.time() + HAVE_MAP_REQUEST_INTERVAL_S
+            if loop.time() >= request_at:
+                request_at = loop.time() + HAVE_MAP_REQUEST_INTERVAL_S
                 self._request_missing_have_maps()
 
     @property
--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -41,7 +41,7 @@
         self._name = name
         self._address = address
         self._clock = clock
-        self._knowledge = RoutingView(rules)
+        self._routing_view = RoutingView(rules)
         self._routes_version = 0
         self._position = NO_POSITION
         self._updated_at = float("-inf")
@@ -55,7 +55,7 @@
     @property
     def due_versions(self) -> Sequence[RequiredVersion]:
         """The versions that were named, oldest first."""
-        return self._knowledge.required_versions(self.model) if self.model else ()
+        return self._routing_view.required_versions(self.model) if self.model else ()
 
     @property
     def hosts(self) -> Mapping[HostId, Place]:
@@ -63,30 +63,30 @@
         if self._hosts is None:
             self._hosts = {
                 HostId(entry.address.rpartition(":")[0]): entry.place
-                for entry in self._knowledge.targets.values()
-                if entry.service == self._name and entry.target not in self._knowledge.leaving
+                for entry in self._routing_view.targets.values()
+                if entry.service == self._name and entry.target not in self._routing_view.leaving
             }
         return self._hosts
 
     @property
     def own_target(self) -> TargetEntry | None:
         """The current incarnation of the agent's target, None until it is listed."""
-        mine = [
-            entry for entry in self._knowledge.targets.values() if entry.address == self._address
+        own_entries = [
+            entry for entry in self._routing_view.targets.values() if entry.address == self._address
         ]
-        return max(mine, key=lambda entry: entry.born_ms, default=None)
+        return max(own_entries, key=lambda entry: entry.born_ms, default=None)
 
     def is_leaving(self, target: TargetId) -> bool:
         """Return whether a target accepts no new work."""
-        return target in self._knowledge.leaving
+        return target in self._routing_view.leaving
 
     def apply_rules(self, rules: RoutingViewRules) -> None:
         """Apply changed bounds."""
-        self._knowledge.rules = rules
+        self._routing_view.rules = rules
 
     def note_store_regained(self, now: float) -> None:
         """Record that the store answers again."""
-        self._knowledge.record_outage_end(now)
+        self._routing_view.record_outage_end(now)
 
     # ---- from the store -------------------------------------------------------------------
 
@@ -103,12 +103,12 @@
         """Apply targets read from the store."""
         self._hosts = None
         now = self._clock()
-        self._knowledge.expire(now)
+        self._routing_view.expire(now)
         self._position = max(self._position, update.position)
-        apply_target_list(self._knowledge, update, now)
+        apply_target_list(self._routing_view, update, now)
 
     def _apply_routes(self, table: RouteTable) -> None:
-        if not self._knowledge.update_routes(table):
+        if not self._routing_view.update_routes(table):
             return
         service = table.services.get(self._name)
         if service is None or service.weights is None or not service.models:
@@ -119,9 +119,9 @@
             if each.origin is not None:
                 self.origin, self.origin_bytes_per_s = each.origin, each.origin_bytes_per_s
 
-    def _add_due_version(self, due: DueVersion, now: float, old: bool) -> None:
-        if self._knowledge.require_version(due, now, old):
-            log.info("version_due", model=due.model, version=due.version, old=old)
+    def _add_due_version(self, due: DueVersion, now: float, is_old: bool) -> None:
+        if self._routing_view.require_version(due, now, is_old):
+            log.info("version_due", model=due.model, version=due.version, old=is_old)
 
     # ---- from entries ---------------------------------------------------------------------
 
@@ -132,20 +132,20 @@
             return
         now = self._clock()
         self._hosts = None
-        self._knowledge.expire(now)
+        self._routing_view.expire(now)
         self._updated_at = now
         if update.routes_version >= self._routes_version:
             self._routes_version = update.routes_version
             self._apply_figures(update)
         model = ModelName(update.model)
         for named in update.named:
-            learned_at = now - named.age_ms / MS_PER_S
-            self._add_due_version(DueVersion(model, named.version), learned_at, old=False)
+            named_at = now - named.age_ms / MS_PER_S
+            self._add_due_version(DueVersion(model, named.version), named_at, is_old=False)
         position = StorePosition(update.store_era, update.targets_position)
         if position >= self._position:
             self._position = position
             listed = [self._target_entry(each) for each in update.targets]
-            self._knowledge.replace_targets(listed, now)
+            self._routing_view.replace_targets(listed, now)
 
     def _apply_figures(self, update: messages.FleetUpdate) -> None:
         self.model = ModelName(update.model)
@@ -156,11 +156,11 @@
         self.origin = Address(update.origin) if update.origin else None
         self.origin_bytes_per_s = float(update.origin_bytes_per_s)
 
-    def _target_entry(self, told: messages.ServiceTarget) -> TargetEntry:
+    def _target_entry(self, listed_target: messages.ServiceTarget) -> TargetEntry:
         return TargetEntry(
-            TargetName(told.name),
+            TargetName(listed_target.name),
             self._name,
-            Address(told.address),
-            Place(told.place),
-            born_ms=told.born_ms,
+            Address(listed_target.address),
+            Place(listed_target.place),
+            born_ms=listed_target.born_ms,
         )
--- a/src/lacewinggw/loader/process.py
+++ b/src/lacewinggw/loader/process.py
@@ -68,9 +68,8 @@
 # hundred bytes, while agents that start together and read routes would saturate a link between
 # regions.
 ENTRY_WAIT_RANGE_S = (0.5, 1.0)
-STORE_WAIT = PollTimes(
-    for_update_s=4.0, after_update_s=0.5
-)  # used only while no entry sends updates
+# Used only while no entry sends updates.
+STORE_WAIT = PollTimes(for_update_s=4.0, after_update_s=0.5)
 
 log = get_logger(__name__)
 
@@ -176,7 +175,7 @@
         self._watchers: set[PeerLink] = set()
         self._report: LoadableReport | None = None
         self._updated_at = 0.0
-        self._emptying_since: float | None = None
+        self._draining_since: float | None = None
         self._has_answered = False
         self._store_read_from = clock() + rng.uniform(*ENTRY_WAIT_RANGE_S)
         self._last_update: messages.TargetUpdate | None = None
@@ -184,15 +183,15 @@
         self._plan: tuple[UpgradeRules, frozenset[HostId], UpgradePlanner] | None = None
         pages = HealthPages(Health(self.metrics, self._readiness))
         self._server = HttpServer(network, agent.operator_listen, pages.handle)
-        part = self.assignment
+        assignment = self.assignment
         self._store_clock = StoreClock()
         self._access = StoreAccess()
         self._era = StoreEra(self.metrics)
         self._era.subscribe(self._store_clock.reset)
-        self._era.subscribe(lambda: part.note_store_regained(clock()))
+        self._era.subscribe(lambda: assignment.note_store_regained(clock()))
         self._followers = [
-            self._follow(Topic.CONFIGURATION, adapter, part.apply_configuration, rng),
-            self._follow(Topic.TARGETS, adapter, part.apply_targets, rng),
+            self._follow(Topic.CONFIGURATION, adapter, assignment.apply_configuration, rng),
+            self._follow(Topic.TARGETS, adapter, assignment.apply_targets, rng),
         ]
         self._report_loop = Background("target reports", self._poll_target)
         self._load_loop = Background("loading", self._reconcile)
@@ -289,15 +288,15 @@
 
     def _update_spread(self) -> None:
         """Set the versions to fetch, and those to keep because other hosts may request them."""
-        part = self.assignment
-        if part.model is None:
+        assignment = self.assignment
+        if assignment.model is None:
             return
         inputs = _SpreadInputs(
-            part.model,
-            tuple(self._versions_to_hold(part.model)),
-            part.hosts,
-            part.origin,
-            part.origin_bytes_per_s,
+            assignment.model,
+            tuple(self._versions_to_hold(assignment.model)),
+            assignment.hosts,
+            assignment.origin,
+            assignment.origin_bytes_per_s,
         )
         # This runs ten times a second, mostly without a change, and is costly with many hosts.
         if inputs != self._spread_inputs:
@@ -323,8 +322,8 @@
         if self._settings.fleet.first_start and not self._has_answered:
             return ()
         current = self._current_version(model)
-        kept = () if current is None else (current,)
-        return self._upgrade(model).fetch or kept
+        held = () if current is None else (current,)
+        return self._upgrade(model).fetch or held
 
     def _neighbours(self, hosts: Mapping[HostId, Place]) -> list[Member]:
         port = self._settings.agent.peer_listen.rpartition(":")[2]
@@ -367,7 +366,7 @@
             if model is None or report is None or report.busy or self._loader.is_loading:
                 continue
             if report.leaving:
-                continue  # it would not use the weights
+                continue  # it gets no new requests that would use the weights
             try:
                 if self._staged.read_failed:
                     # The target was not up yet. Pieces staged there need not be downloaded.
@@ -379,7 +378,7 @@
     async def _advance(self, model: ModelName, report: LoadableReport) -> None:
         upgrade = self._upgrade(model)
         if upgrade.load is None:
-            self._emptying_since = None
+            self._draining_since = None
             if upgrade.fetch:
                 await self._loader.stage(model, upgrade.fetch[0])
             return
@@ -388,19 +387,19 @@
             if upgrade.may_interrupt and self.assignment.resumable
             else SwitchMode.FINISH
         )
-        if switch is SwitchMode.FINISH and not self._is_emptied(report, upgrade.load_deadline):
+        if switch is SwitchMode.FINISH and not self._is_drained(report, upgrade.load_deadline):
             return
         await self._loader.load(model, upgrade.load, switch, report)
-        self._emptying_since = None
+        self._draining_since = None
         self._notify_entries()
 
-    def _is_emptied(self, report: LoadableReport, order_by: float) -> bool:
+    def _is_drained(self, report: LoadableReport, order_by: float) -> bool:
         """Return whether running requests ended or had their time; none are sent meanwhile."""
         now = self._clock()
-        if self._emptying_since is None:
-            self._emptying_since = now
+        if self._draining_since is None:
+            self._draining_since = now
             self._notify_entries()
-        waited_s = now - self._emptying_since
+        waited_s = now - self._draining_since
         return not report.running or waited_s >= DRAIN_S or now >= order_by
 
     def _update_slots(self) -> None:
@@ -413,8 +412,8 @@
 
     @property
     def _is_changing_weights(self) -> bool:
-        """Whether the target loads weights, or is being emptied to load them."""
-        return self._loader.is_loading or self._emptying_since is not None
+        """Whether the target loads weights, or is being drained to load them."""
+        return self._loader.is_loading or self._draining_since is not None
 
     # ---- entries --------------------------------------------------------------------------
 
@@ -434,10 +433,10 @@
                     self._watchers.add(link)
                     self._last_update = None
             case messages.FleetUpdate() as update:
-                was_told = self.assignment.has_recent_update
+                had_update = self.assignment.has_recent_update
                 self._era.note(update.store_era)
                 self.assignment.apply_update(update)
-                if self.assignment.has_recent_update and not was_told:
+                if self.assignment.has_recent_update and not had_update:
                     self._interrupt_store_reads()
             case _:
                 return False  # chunks and have maps, which may wait for capacity
@@ -456,16 +455,19 @@
         update = self._make_update()
         if update is None:
             return
-        told = self._last_update
-        urgent = told is None or (update.loading, update.leaving) != (told.loading, told.leaving)
+        last_update = self._last_update
+        urgent = last_update is None or (update.loading, update.leaving) != (
+            last_update.loading,
+            last_update.leaving,
+        )
         pause_s = UNCHANGED_INTERVAL_S if update == self._last_update else UPDATE_INTERVAL_S
         if not urgent and now - self._updated_at < pause_s:
             return
         self._last_update, self._updated_at = update, now
         self._watchers = {link for link in self._watchers if not link.closed.is_set()}
-        stamped = copy(update)
-        stamped.sent_ms = round(now * MS_PER_S)
-        self._node.notify_all(self._watchers, stamped)
+        stamped_update = copy(update)
+        stamped_update.sent_ms = round(now * MS_PER_S)
+        self._node.notify_all(self._watchers, stamped_update)
 
     def _make_update(self) -> messages.TargetUpdate | None:
         report, target = self._report, self.assignment.own_target
@@ -484,7 +486,7 @@
 
 
 def _birth_ms(target: TargetEntry, report: LoadableReport) -> int:
-    """Return the start time that the target reports, or 0 if the list gives entries none."""
+    """Return the start time that the target reports, or 0 if entries know none from the list."""
     return (report.born_ms or target.born_ms) if target.born_ms else 0
 
 
--- a/src/lacewinggw/loader/slots.py
+++ b/src/lacewinggw/loader/slots.py
@@ -24,30 +24,30 @@
     """Grants the slots of one target to entries.
 
     slots = AgentSlotService(metrics)
-    await slots.serve(exchange, ask)  # until the entry returns the slot, or its link breaks
+    await slots.serve(exchange, request)  # until the entry returns the slot, or its link breaks
     slots.update_target(running=5, accepts_work=True)
     """
 
     def __init__(self, metrics: Metrics) -> None:
-        self._ledger = SlotAllocator()
+        self._allocator = SlotAllocator()
         self._exchanges: dict[LeaseId, Exchange] = {}
         self._numbers = itertools.count()
         self._recheck_timer: asyncio.TimerHandle | None = None
         self._counts = {
             state: metrics.counter("slots_asked", outcome=state.name.lower()) for state in SlotState
         }
-        metrics.read_gauge("slots_taken", lambda: self._ledger.taken)
-        metrics.read_gauge("slots_waited_for", lambda: self._ledger.waiting)
+        metrics.read_gauge("slots_taken", lambda: self._allocator.taken)
+        metrics.read_gauge("slots_waited_for", lambda: self._allocator.waiting)
 
     @property
     def taken(self) -> int:
         """The number of slots that are taken."""
-        return self._ledger.taken
+        return self._allocator.taken
 
     @property
     def waiting(self) -> int:
         """The number of requests that wait for a slot."""
-        return self._ledger.waiting
+        return self._allocator.waiting
 
     def close(self) -> None:
         """Cancel the timer that checks the queue."""
@@ -60,50 +60,50 @@
         and waiting requests are declined.
         """
         if running is not None:
-            self._ledger.note_report(running, _now())
+            self._allocator.note_report(running, _now())
         if accepts_work and running is not None:
-            if not self._ledger.is_open:
+            if not self._allocator.is_open:
                 log.info("slots_opened", running=running)
-            self._ledger.open()
+            self._allocator.open()
             self._grant()
-        elif self._ledger.is_open:
+        elif self._allocator.is_open:
             log.info("slots_closed", taken=self.taken, waiting=self.waiting)
-            self._notify(self._ledger.close(), SlotState.DECLINED)
+            self._notify(self._allocator.close(), SlotState.DECLINED)
 
-    async def serve(self, exchange: Exchange, ask: messages.AskSlot) -> None:
+    async def serve(self, exchange: Exchange, request: messages.AskSlot) -> None:
         """Handle one lease from its request to its end."""
-        require_sound(ask)
-        if not self._ledger.is_open:
+        require_sound(request)
+        if not self._allocator.is_open:
             self._counts[SlotState.DECLINED].add()
             exchange.finish(messages.SlotUpdate(SlotState.DECLINED))
             return
         lease = LeaseId(next(self._numbers))
         self._exchanges[lease] = exchange
-        self._ledger.slots = ask.slots
-        self._ledger.enqueue(lease, _slot_request(ask), _now())
+        self._allocator.slots = request.slots
+        self._allocator.enqueue(lease, _slot_request(request), _now())
         try:
             if not self._grant(lease):
                 self._notify([lease], SlotState.QUEUED)
             await exchange.follow_up()
         finally:
             del self._exchanges[lease]
-            self._ledger.release(lease)
+            self._allocator.release(lease)
             self._grant()
         exchange.end_quietly()
 
-    def _grant(self, asked: LeaseId | None = None) -> bool:
-        """Grant free slots to waiting requests; return whether `asked` was granted or overtaken."""
+    def _grant(self, requested: LeaseId | None = None) -> bool:
+        """Grant the free slots; return whether `requested` was granted or overtaken."""
         now = _now()
-        given = self._ledger.grant(now)
-        self._notify(given, SlotState.GRANTED)
-        overtaken = self._ledger.drop_overtaken(now)
+        granted = self._allocator.grant(now)
+        self._notify(granted, SlotState.GRANTED)
+        overtaken = self._allocator.drop_overtaken(now)
         self._notify(overtaken, SlotState.OVERTAKEN)
         self._cancel_recheck()
-        look_at = self._ledger.next_check_at(now)
-        if look_at is not None and look_at > now:
+        check_at = self._allocator.next_check_at(now)
+        if check_at is not None and check_at > now:
             loop = asyncio.get_running_loop()
-            self._recheck_timer = loop.call_at(look_at + TIMER_MARGIN_S, self._grant)
-        return asked in given or asked in overtaken
+            self._recheck_timer = loop.call_at(check_at + TIMER_MARGIN_S, self._grant)
+        return requested in granted or requested in overtaken
 
     def _notify(self, leases: Iterable[LeaseId], state: SlotState) -> None:
         for lease in leases:
@@ -116,15 +116,15 @@
             self._recheck_timer = None
 
 
-def _slot_request(ask: messages.AskSlot) -> SlotRequest:
-    suspect = RequestDigest(ask.suspect) if ask.suspect else None
+def _slot_request(request: messages.AskSlot) -> SlotRequest:
+    suspect = RequestDigest(request.suspect) if request.suspect else None
     return SlotRequest(
-        rank=ask.rank,
-        is_late=ask.late,
-        wait_s=ask.wait_ms / MS_PER_S,
-        prefill_s=ask.reading_us / US_PER_S,
+        rank=request.rank,
+        is_late=request.late,
+        wait_s=request.wait_ms / MS_PER_S,
+        prefill_s=request.reading_us / US_PER_S,
         suspect=suspect,
-        waited_s=ask.waited_us / US_PER_S,
+        waited_s=request.waited_us / US_PER_S,
     )
 
 
--- a/src/lacewinggw/loader/targetloader.py
+++ b/src/lacewinggw/loader/targetloader.py
@@ -63,9 +63,8 @@
         self._metrics = metrics
         self._orders = metrics.counter("load_orders")
         self._replaced_pieces = metrics.counter("staged_pieces_replaced")
-        self._staged: set[int] = (
-            set()
-        )  # pieces of `_staged_release` that this process staged or read
+        # Pieces of `_staged_release` that this process staged or read.
+        self._staged: set[int] = set()
         self._staged_release: Digest | None = None
         self._loading = False
 
@@ -114,9 +113,9 @@
             self._metrics.retry(RetryReason.ORDER_FAILED)
 
     async def _check_staged(self, model: ModelName, release: Digest, manifest: Manifest) -> None:
-        for index, wanted in enumerate(manifest.chunk_hashes):
+        for index, expected in enumerate(manifest.chunk_hashes):
             data = await self._target.read_piece(model, index)
-            if data is None or hashlib.sha256(data).digest() != wanted:
+            if data is None or hashlib.sha256(data).digest() != expected:
                 self._replaced_pieces.add()
                 log.warning("staged_piece_replaced", release=release, index=index)
                 await self._stage_piece(model, release, index)
--- a/tests/fleet/test_agent_cost.py
+++ b/tests/fleet/test_agent_cost.py
@@ -15,17 +15,17 @@
     async with running_fleet(engines=2) as fleet:
         agent = await fleet.add_agent("engine0")
         await asyncio.sleep(2.0)
-        told = []
+        updates = []
         set_members = agent.spreader.set_members
         agent.spreader.set_members = lambda members: (
-            told.append(len(members)),
+            updates.append(len(members)),
             set_members(members),
         )
         await asyncio.sleep(3.0)
-        assert told == []
+        assert updates == []
         fleet.store.put("servers", "i-more", target_row(LLM, "10.2.0.9:8080"))
         await asyncio.sleep(3.0)
-        assert told == [3]
+        assert updates == [3]
 
 
 async def test_an_agent_is_sent_changes_and_not_each_row_that_targets_write():
@@ -34,15 +34,18 @@
     async with running_fleet(engines=4) as fleet:
         agent = await fleet.add_agent("engine0")
         await asyncio.sleep(2.0)
-        told = []
+        updates = []
         apply_update = agent.assignment.apply_update
-        agent.assignment.apply_update = lambda update: (told.append(update), apply_update(update))
+        agent.assignment.apply_update = lambda update: (
+            updates.append(update),
+            apply_update(update),
+        )
         for number in range(30):
             target = fleet.targets[f"engine{1 + number % 3}"]
             row = target_row(LLM, target.address, ColdRemainingMs=number)
             fleet.store.put("servers", target.target_id, row)
             await asyncio.sleep(0.2)
-        assert 3 <= len(told) <= 6  # one entry sends an update every 1.5 s, for 6 s
+        assert 3 <= len(updates) <= 6  # one entry sends an update every 1.5 s, for 6 s
         fleet.store.put("servers", "i-more", target_row(LLM, "10.2.0.9:8080"))
         await asyncio.sleep(0.8)
         assert "10.2.0.9" in agent.assignment.hosts
--- a/tests/fleet/test_agent_slots.py
+++ b/tests/fleet/test_agent_slots.py
@@ -17,19 +17,19 @@
     return await asyncio.gather(*asks)
 
 
-async def watch(fleet, most):
+async def watch(fleet, peak_running):
     while True:
         for name, target in fleet.targets.items():
-            most[name] = max(most.get(name, 0), target.running)
+            peak_running[name] = max(peak_running.get(name, 0), target.running)
         await asyncio.sleep(0.002)
 
 
-async def ask_and_watch(fleet, count, entries):
-    most = {}
-    watching = asyncio.get_running_loop().create_task(watch(fleet, most))
+async def request_and_watch(fleet, count, entries):
+    peak_running = {}
+    watching = asyncio.get_running_loop().create_task(watch(fleet, peak_running))
     replies = await ask(fleet, count, entries)
     watching.cancel()
-    return [reply.status for reply in replies], most
+    return [reply.status for reply in replies], peak_running
 
 
 async def start_agents(fleet, *names):
@@ -45,8 +45,8 @@
         await start_agents(fleet, "engine0", "engine1")
         for target in fleet.targets.values():
             target.behaviour.pause_s = 0.02
-        statuses, most = await ask_and_watch(fleet, 40, entries=4)
-        assert most["engine0"] == most["engine1"] == SLOTS
+        statuses, peak_running = await request_and_watch(fleet, 40, entries=4)
+        assert peak_running["engine0"] == peak_running["engine1"] == SLOTS
         assert statuses.count(200) >= 3 * 2 * SLOTS  # some wait for those before them
         assert set(statuses) <= {200, 503}
 
@@ -61,7 +61,7 @@
         await asyncio.gather(*leaving)
         fleet.targets["engine0"].behaviour.pause_s = 0.01
         await asyncio.sleep(0.4)
-        statuses, _ = await ask_and_watch(fleet, SLOTS, entries=1)
+        statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
 
 
@@ -76,7 +76,7 @@
         fleet.network.lose("10.1.0.2")
         await asyncio.sleep(0.5)
         fleet.targets["engine0"].behaviour.pause_s = 0.01
-        statuses, _ = await ask_and_watch(fleet, 1, entries=1)
+        statuses, _ = await request_and_watch(fleet, 1, entries=1)
         assert statuses == [200]
         lost.cancel()
 
@@ -85,12 +85,12 @@
     async with running_fleet(engines=2) as fleet:
         await start_agents(fleet, "engine0", "engine1")
 
-        async def say_nothing(exchange, question):
+        async def never_reply(exchange, question):
             await asyncio.sleep(3600)
 
-        fleet.agents["engine0"]._slots.serve = say_nothing
+        fleet.agents["engine0"]._slots.serve = never_reply
         began = asyncio.get_running_loop().time()
-        statuses, _ = await ask_and_watch(fleet, SLOTS, entries=1)
+        statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
         assert asyncio.get_running_loop().time() - began < 0.3
 
@@ -100,7 +100,7 @@
         await start_agents(fleet, "engine0")
         await fleet.agents.pop("engine0").close()
         await asyncio.sleep(3.5)
-        statuses, _ = await ask_and_watch(fleet, SLOTS, entries=1)
+        statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
 
 
@@ -110,5 +110,5 @@
         slots = fleet.agents["engine0"]._slots
         slots.update_target(running=0, accepts_work=False)
         slots.update_target = lambda running, accepts_work: None
-        statuses, most = await ask_and_watch(fleet, SLOTS, entries=1)
-        assert statuses == SLOTS * [200] and most["engine0"] == 0
+        statuses, peak_running = await request_and_watch(fleet, SLOTS, entries=1)
+        assert statuses == SLOTS * [200] and peak_running["engine0"] == 0
--- a/tests/fleet/test_origin_return.py
+++ b/tests/fleet/test_origin_return.py
@@ -13,14 +13,16 @@
 import pytest
 from spread_links import CHUNKS, PLAN, RULES, LinkedHosts
 
-HALLS = {"hall": 17, "room": 17, "shed": 16}
+HOSTS_BY_PLACE = {"hall": 17, "room": 17, "shed": 16}
 SLOW_ORIGIN = replace(RULES, origin_bytes_per_s=547_500, source_backoff_limit_s=0.3)
 COPY_S = CHUNKS * 32768 / 547_500
-AWAY_S = (2.5, 8.5)
+OUTAGE_S = (2.5, 8.5)
 
 
-def play(seed):
-    fleet = LinkedHosts(HALLS, seed=seed, plan=PLAN, rules=SLOW_ORIGIN, origin_away=AWAY_S)
+def run_fleet(seed):
+    fleet = LinkedHosts(
+        HOSTS_BY_PLACE, seed=seed, plan=PLAN, rules=SLOW_ORIGIN, origin_away=OUTAGE_S
+    )
     fleet.run()
     return fleet
 
@@ -28,11 +30,11 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_an_origin_that_returns_sends_each_chunk_about_once(seed):
     # Once, plus a tenth for chunks in transit to two hosts when the origin returns.
-    assert play(seed).origin_chunks <= 1.1 * CHUNKS
+    assert run_fleet(seed).origin_chunks <= 1.1 * CHUNKS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_every_host_has_a_copy_soon_after_the_origin_returns(seed):
     # The rest of a copy, and then the transfer of the last chunks from host to host.
-    rest_s = COPY_S - AWAY_S[0]
-    assert max(play(seed).completed.values()) <= AWAY_S[1] + rest_s + 2.5
+    rest_s = COPY_S - OUTAGE_S[0]
+    assert max(run_fleet(seed).completed.values()) <= OUTAGE_S[1] + rest_s + 2.5
--- a/tests/fleet/test_weights_burst.py
+++ b/tests/fleet/test_weights_burst.py
@@ -13,7 +13,7 @@
 EVERY_PIECE = [piece(2, index) for index in range(CHUNKS)]
 
 
-async def with_agents(fleet: DeclaredFleet) -> list[TargetStandIn]:
+async def start_agents(fleet: DeclaredFleet) -> list[TargetStandIn]:
     engines = [name for name in fleet.targets if name.startswith("engine")]
     for name in engines:
         target = fleet.targets[name]
@@ -29,7 +29,7 @@
 
 async def test_every_engine_has_a_named_version_in_time():
     async with running_fleet(engines=4) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(8.0)
         assert [engine.weights[MODEL] for engine in engines] == [2] * 4
@@ -39,7 +39,7 @@
 
 async def test_half_of_the_engines_serve_the_old_version_until_the_others_have_the_new_one():
     async with running_fleet(engines=4) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(4.0)
         assert sorted(engine.weights[MODEL] for engine in engines) == [1, 1, 2, 2]
@@ -48,7 +48,7 @@
 
 async def test_a_piece_that_is_corrupted_while_staged_is_staged_again():
     async with running_fleet(engines=1) as fleet:
-        (engine,) = await with_agents(fleet)
+        (engine,) = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(4.0)
         engine.staged[3] = b"rotten"
@@ -58,7 +58,7 @@
 
 async def test_a_piece_that_arrives_corrupt_from_the_origin_is_fetched_again():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         fleet.origin.corrupt = {1, 5}
         name_version(fleet, 2)
         await asyncio.sleep(8.0)
@@ -67,7 +67,7 @@
 
 async def test_an_origin_that_was_unavailable_is_requested_again():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         fleet.origin.faults.outage = Outage.CUT
         name_version(fleet, 2)
         await asyncio.sleep(3.0)
@@ -78,7 +78,7 @@
 
 async def test_an_empty_engine_gets_its_pieces_from_the_others():
     async with running_fleet(engines=2) as fleet:
-        await with_agents(fleet)
+        await start_agents(fleet)
         empty = await fleet.add_target("empty", LLM, "10.2.0.9", Models=[])
         empty.weights = {}
         await fleet.add_agent("empty")
@@ -89,7 +89,7 @@
 
 async def test_an_engine_that_restarted_uses_what_is_still_staged():
     async with running_fleet(engines=1) as fleet:
-        (engine,) = await with_agents(fleet)
+        (engine,) = await start_agents(fleet)
         engine.weights = {}
         await asyncio.sleep(1.0)
         assert engine.weights == {MODEL: 1}
@@ -98,7 +98,7 @@
 
 async def test_a_refused_order_is_repeated_with_the_state_that_the_engine_reports():
     async with running_fleet(engines=1) as fleet:
-        (engine,) = await with_agents(fleet)
+        (engine,) = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(4.0)
         engine.orders.append({"Operation": "of somebody else"})
@@ -108,7 +108,7 @@
 
 async def test_agents_receive_a_version_while_they_cannot_reach_the_store():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         for number in (1, 2):
             fleet.network.cut(f"10.2.0.{number}", "10.9.0.1")
         name_version(fleet, 2)
@@ -118,7 +118,7 @@
 
 async def test_agents_read_the_store_while_no_entry_sends_updates():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         await fleet.entries[0].close()
         await asyncio.sleep(5.0)
         name_version(fleet, 2)
@@ -128,7 +128,7 @@
 
 async def test_agents_do_not_read_the_store_while_entries_send_updates():
     async with running_fleet(engines=2) as fleet:
-        await with_agents(fleet)
+        await start_agents(fleet)
         for number in (1, 2):
             fleet.network.cut(f"10.2.0.{number}", "10.9.0.1")
         await asyncio.sleep(10.0)
@@ -156,7 +156,7 @@
         await fleet.add_agent("engine0")
         await asyncio.sleep(1.5)
         await engine.start()
-        drawn = len(fleet.origin.sent)
+        sent_before = len(fleet.origin.sent)
         await asyncio.sleep(1.0)
         assert engine.weights == {MODEL: 1}
-        assert len(fleet.origin.sent) <= drawn + 1  # one may be in transit
+        assert len(fleet.origin.sent) <= sent_before + 1  # one may be in transit
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -29,25 +29,25 @@
 
 async def test_each_watcher_receives_heartbeats_at_its_own_interval():
     sender = await start_sender()
-    often, seldom = Link(), Link()
-    sender.handle_watch(often, Watch("entry-1"))
-    sender.handle_watch(seldom, Watch("entry-2", 10_000))
+    frequent, infrequent = Link(), Link()
+    sender.handle_watch(frequent, Watch("entry-1"))
+    sender.handle_watch(infrequent, Watch("entry-2", 10_000))
     await asyncio.sleep(60)
     await sender.close()
-    assert 50 <= len(often.sent) <= 61
-    assert 5 <= len(seldom.sent) <= 7
+    assert 50 <= len(frequent.sent) <= 61
+    assert 5 <= len(infrequent.sent) <= 7
 
 
 async def test_a_change_is_sent_to_all_watchers_at_once():
     sender = await start_sender()
-    seldom = Link()
-    sender.handle_watch(seldom, Watch("entry-2", 10_000))
+    infrequent = Link()
+    sender.handle_watch(infrequent, Watch("entry-2", 10_000))
     await asyncio.sleep(0.5)
     for _ in range(20):
         sender.note_change()
     await asyncio.sleep(0.01)
     await sender.close()
-    assert len(seldom.sent) == 2
+    assert len(infrequent.sent) == 2
 
 
 async def test_nothing_is_sent_to_a_watcher_that_stopped_or_whose_link_closed():
--- a/tests/test_spread_faults.py
+++ b/tests/test_spread_faults.py
@@ -20,24 +20,24 @@
 SPEC = FleetSpec(hosts=12, places=3, chunks=32, link_bytes_per_s=16384)
 FAULT_FREE_RATIO = 1.5
 ORIGIN_LIMIT = 4.0
-LAG_S = 4.0
+FAULT_S = 4.0
 
 Fault = Callable[[SpreadFleet], Awaitable[float]]
 
 
-async def kill_a_tenth(fleet: SpreadFleet) -> float:
+async def replace_hosts(fleet: SpreadFleet) -> float:
     for name in fleet.pick(0.1):
         await fleet.replace_host(name)
     fleet.tell_members()
     return 0.0
 
 
-async def kill_with_lag(fleet: SpreadFleet) -> float:
-    """Replace hosts while the list shows the old ones, at their old addresses, for `LAG_S`."""
+async def replace_hosts_with_list_lag(fleet: SpreadFleet) -> float:
+    """Replace hosts while the list shows the old ones, at their old addresses, for `FAULT_S`."""
     for name in fleet.pick(0.1):
         await fleet.replace_host(name)
-    asyncio.get_running_loop().call_later(LAG_S, fleet.tell_members)
-    return LAG_S
+    asyncio.get_running_loop().call_later(FAULT_S, fleet.tell_members)
+    return FAULT_S
 
 
 async def stall_links(fleet: SpreadFleet) -> float:
@@ -45,8 +45,8 @@
     for ip in stalled:
         fleet.network.hold(ip)
     for ip in stalled:
-        asyncio.get_running_loop().call_later(LAG_S, fleet.network.let_go, ip)
-    return LAG_S
+        asyncio.get_running_loop().call_later(FAULT_S, fleet.network.let_go, ip)
+    return FAULT_S
 
 
 async def corrupt_a_source(fleet: SpreadFleet) -> float:
@@ -59,7 +59,7 @@
     return 0.0
 
 
-async def lose_the_origin(fleet: SpreadFleet) -> float:
+async def refuse_at_origin(fleet: SpreadFleet) -> float:
     outage_s = SPEC.bound_s / 3
     fleet.platform.origin.faults.outage = Outage.REFUSE
     fleet.platform.weight_store.faults.outage = Outage.REFUSE
@@ -78,12 +78,12 @@
 
 
 FAULTS: dict[str, tuple[float, Fault]] = {
-    "kill": (0.33, kill_a_tenth),
-    "kill-lag": (0.33, kill_with_lag),
+    "kill": (0.33, replace_hosts),
+    "kill-lag": (0.33, replace_hosts_with_list_lag),
     "stall": (0.2, stall_links),
     "corrupt": (0.0, corrupt_a_source),
     "corrupt-origin": (0.0, corrupt_at_origin),
-    "origin-down": (0.1, lose_the_origin),
+    "origin-down": (0.1, refuse_at_origin),
     "origin-stalled": (0.1, stall_the_origin),
 }
 PAIRS = [("kill", "corrupt"), ("stall", "origin-down"), ("kill-lag", "stall")]
@@ -94,32 +94,32 @@
 async def test_release_reaches_all_under_faults(names: tuple[str, ...], looptime: float) -> None:
     async with running(SPEC) as fleet:
         manifest = fleet.publish("market-7")
-        begun = float(looptime)
+        start_s = float(looptime)
         fleet.tell_due(manifest)
-        outages = await asyncio.gather(*(strike(fleet, *FAULTS[name]) for name in names))
+        outages = await asyncio.gather(*(inject_fault(fleet, *FAULTS[name]) for name in names))
         await fleet.wait_complete(manifest)
-        taken = float(looptime) - begun
+        duration_s = float(looptime) - start_s
         await assert_whole(fleet, manifest)
         assert fleet.platform.origin.copies("market-7") <= ORIGIN_LIMIT
-        assert taken <= 2 * FAULT_FREE_RATIO * SPEC.bound_s + sum(outages)
+        assert duration_s <= 2 * FAULT_FREE_RATIO * SPEC.bound_s + sum(outages)
 
 
-async def strike(fleet: SpreadFleet, share: float, fault: Fault) -> float:
+async def inject_fault(fleet: SpreadFleet, share: float, fault: Fault) -> float:
     await asyncio.sleep(share * SPEC.bound_s)
     return await fault(fleet)
 
 
 async def test_a_corrupt_source_is_avoided_and_its_chunks_are_not_passed_on() -> None:
     async with running(SPEC) as fleet:
-        bad = fleet.hosts[fleet.pick(0.05)[0]]
-        bad.corrupt()
+        corrupt_host = fleet.hosts[fleet.pick(0.05)[0]]
+        corrupt_host.corrupt()
         manifest = fleet.publish("market-7")
         fleet.tell_due(manifest)
         await fleet.wait_complete(manifest)
         reports = [host.spreader.reports()[0] for host in fleet.hosts.values()]
-        blamed = {name for report in reports for name in report.bad_sources}
-        assert blamed == {bad.member.host}
-        limit = bad.settings.spread.corrupt_limit + bad.settings.spread.in_flight
+        bad_sources = {name for report in reports for name in report.bad_sources}
+        assert bad_sources == {corrupt_host.member.host}
+        limit = corrupt_host.settings.spread.corrupt_limit + corrupt_host.settings.spread.in_flight
         assert all(report.corrupt_chunks <= limit for report in reports)
 
 
