--- a/tests/fleet/test_agent_slots.py
+++ b/tests/fleet/test_agent_slots.py
@@ -89,10 +89,10 @@
             await asyncio.sleep(3600)
 
         fleet.agents["engine0"]._slots.serve = never_reply
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
-        assert asyncio.get_running_loop().time() - began < 0.3
+        assert asyncio.get_running_loop().time() - started_at < 0.3
 
 
 async def test_without_agents_entries_use_their_cached_state():
--- a/tests/test_spread_faults.py
+++ b/tests/test_spread_faults.py
@@ -152,12 +152,14 @@
     fleet.platform.weight_store.faults.outage = Outage.REFUSE
 
 
-@pytest.mark.parametrize("begun_s", [0.0, 1.0])
-async def test_a_release_without_a_source_is_reported_with_its_remedy(begun_s: float) -> None:
+@pytest.mark.parametrize("outage_after_s", [0.0, 1.0])
+async def test_a_release_without_a_source_is_reported_with_its_remedy(
+    outage_after_s: float,
+) -> None:
     async with running(FleetSpec(hosts=4)) as fleet:
         manifest = fleet.publish("market-7")
         fleet.tell_due(manifest)
-        await asyncio.sleep(begun_s)
+        await asyncio.sleep(outage_after_s)
         lose_all_sources(fleet)
         await asyncio.sleep(30.0)
         for host in fleet.hosts.values():
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -210,11 +210,11 @@
     async with engine(EngineSpec(prefill_s=1.0)) as target:
         target.standin.faults.event_lag_s = 3.0
         await target.load(CHUNKS)
-        marks = [float(looptime)]
+        times = [float(looptime)]
         for name in ("cold", "warm"):
             await collect(target.client, generation(name, pieces=1))
-            marks.append(float(looptime))
-        assert marks[1] - marks[0] > 1.0 > 0.1 > marks[2] - marks[1]
+            times.append(float(looptime))
+        assert times[1] - times[0] > 1.0 > 0.1 > times[2] - times[1]
         assert await target.client.cache_events(0) == []
         await asyncio.sleep(3.0)
         events = await target.client.cache_events(0)
@@ -324,10 +324,10 @@
         assert len(run.weights) == 2 and not run.whole_weights
         assert set(run.weights) == set(target.standin.weights.activated)
         events = list(run_events("host-1", target.standin.records.describe(0)))
-        told = [
+        matches = [
             (event.told == event.held) for event in events if isinstance(event, WeightsActivated)
         ]
-        assert told == [True, False]
-        begun, ended = events[2:]
-        assert isinstance(begun, RunStarted) and isinstance(ended, RunEnded)
-        assert begun.weights == DIGEST != ended.weights
+        assert matches == [True, False]
+        started_event, ended_event = events[2:]
+        assert isinstance(started_event, RunStarted) and isinstance(ended_event, RunEnded)
+        assert started_event.weights == DIGEST != ended_event.weights
