--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -1,7 +1,7 @@
-"""What an agent knows of its part: its model, the versions named, and who takes part with it.
+"""Assignment of an agent: its model, the versions named, and the hosts of its service.
 
-It is told by entries, which read the store anyway; while none of them speaks, it reads the store.
-Either way versions only rise, and the list of targets with the higher position counts.
+Entries send it, since they read the store anyway; while none of them does, the agent reads the
+store. Either way versions only rise, and the list of targets with the higher position is used.
 """
 
 from collections.abc import Mapping, Sequence
@@ -21,15 +21,14 @@
 from lacewinggw.wire.soundness import require_sound
 
 MS_PER_S = 1000.0
-UPDATE_TIMEOUT_S = (
-    4.0  # updates of entries come every 1.5 s; after more than two that did not, the store is read
-)
+# Entries send updates every 1.5 s; after more than two missing ones, the store is read.
+UPDATE_TIMEOUT_S = 4.0
 
 log = get_logger(__name__)
 
 
 class Assignment:
-    """The part of the agent beside the target at `address`, of the service `name`."""
+    """The assignment of the agent for the target at `address`, of the service `name`."""
 
     def __init__(
         self, name: ServiceName, address: Address, rules: RoutingViewRules, clock: Clock
@@ -42,57 +41,57 @@
         self._name = name
         self._address = address
         self._clock = clock
-        self._knowledge = RoutingView(rules)
+        self._routing_view = RoutingView(rules)
         self._routes_version = 0
         self._position = NO_POSITION
         self._updated_at = float("-inf")
-        self._hosts: Mapping[HostId, Place] | None = None  # None: to be worked out anew
+        self._hosts: Mapping[HostId, Place] | None = None  # None: to be computed again
 
     @property
     def has_recent_update(self) -> bool:
-        """Whether an entry spoke lately, so that the store need not be read."""
+        """Whether an entry sent an update recently, so that the store need not be read."""
         return self._clock() - self._updated_at < UPDATE_TIMEOUT_S
 
     @property
     def due_versions(self) -> Sequence[RequiredVersion]:
-        """The versions that were named, the oldest first."""
-        return self._knowledge.required_versions(self.model) if self.model else ()
+        """The versions that were named, oldest first."""
+        return self._routing_view.required_versions(self.model) if self.model else ()
 
     @property
     def hosts(self) -> Mapping[HostId, Place]:
-        """The hosts whose targets take part, those that are leaving left out."""
+        """The hosts of the service's targets, except targets that are leaving."""
         if self._hosts is None:
             self._hosts = {
                 HostId(entry.address.rpartition(":")[0]): entry.place
-                for entry in self._knowledge.targets.values()
-                if entry.service == self._name and entry.target not in self._knowledge.leaving
+                for entry in self._routing_view.targets.values()
+                if entry.service == self._name and entry.target not in self._routing_view.leaving
             }
         return self._hosts
 
     @property
     def own_target(self) -> TargetEntry | None:
-        """The present start of the target beside the agent, None until it is listed."""
-        mine = [
-            entry for entry in self._knowledge.targets.values() if entry.address == self._address
+        """The current incarnation of the agent's target, None until it is listed."""
+        own_entries = [
+            entry for entry in self._routing_view.targets.values() if entry.address == self._address
         ]
-        return max(mine, key=lambda entry: entry.born_ms, default=None)
+        return max(own_entries, key=lambda entry: entry.born_ms, default=None)
 
     def is_leaving(self, target: TargetId) -> bool:
-        """Return whether a target takes no new work."""
-        return target in self._knowledge.leaving
+        """Return whether a target accepts no new work."""
+        return target in self._routing_view.leaving
 
     def apply_rules(self, rules: RoutingViewRules) -> None:
-        """Take in changed bounds."""
-        self._knowledge.rules = rules
+        """Apply changed bounds."""
+        self._routing_view.rules = rules
 
     def note_store_regained(self, now: float) -> None:
-        """Note that the store answers again."""
-        self._knowledge.record_outage_end(now)
+        """Record that the store answers again."""
+        self._routing_view.record_outage_end(now)
 
     # ---- from the store -------------------------------------------------------------------
 
     def apply_configuration(self, update: FeedUpdate, _: AnswerTimes) -> None:
-        """Take what the store says of routes and versions."""
+        """Apply routes and versions read from the store."""
         for change in update.changes:
             match change:
                 case ItemChanged(RouteTable() as table):
@@ -101,15 +100,15 @@
                     self._add_due_version(due, self._clock(), update.whole)
 
     def apply_targets(self, update: FeedUpdate, _: AnswerTimes) -> None:
-        """Take what the store says of targets."""
+        """Apply targets read from the store."""
         self._hosts = None
         now = self._clock()
-        self._knowledge.expire(now)
+        self._routing_view.expire(now)
         self._position = max(self._position, update.position)
-        apply_target_list(self._knowledge, update, now)
+        apply_target_list(self._routing_view, update, now)
 
     def _apply_routes(self, table: RouteTable) -> None:
-        if not self._knowledge.update_routes(table):
+        if not self._routing_view.update_routes(table):
             return
         service = table.services.get(self._name)
         if service is None or service.weights is None or not service.models:
@@ -120,33 +119,33 @@
             if each.origin is not None:
                 self.origin, self.origin_bytes_per_s = each.origin, each.origin_bytes_per_s
 
-    def _add_due_version(self, due: DueVersion, now: float, old: bool) -> None:
-        if self._knowledge.require_version(due, now, old):
-            log.info("version_due", model=due.model, version=due.version, old=old)
+    def _add_due_version(self, due: DueVersion, now: float, is_old: bool) -> None:
+        if self._routing_view.require_version(due, now, is_old):
+            log.info("version_due", model=due.model, version=due.version, old=is_old)
 
     # ---- from entries ---------------------------------------------------------------------
 
     def apply_update(self, update: messages.FleetUpdate) -> None:
-        """Take what an entry says."""
+        """Apply an update that an entry sent."""
         require_sound(update)
         if update.service_name != self._name:
             return
         now = self._clock()
         self._hosts = None
-        self._knowledge.expire(now)
+        self._routing_view.expire(now)
         self._updated_at = now
         if update.routes_version >= self._routes_version:
             self._routes_version = update.routes_version
             self._apply_figures(update)
         model = ModelName(update.model)
         for named in update.named:
-            learned_at = now - named.age_ms / MS_PER_S
-            self._add_due_version(DueVersion(model, named.version), learned_at, old=False)
+            named_at = now - named.age_ms / MS_PER_S
+            self._add_due_version(DueVersion(model, named.version), named_at, is_old=False)
         position = StorePosition(update.store_era, update.targets_position)
         if position >= self._position:
             self._position = position
             listed = [self._target_entry(each) for each in update.targets]
-            self._knowledge.replace_targets(listed, now)
+            self._routing_view.replace_targets(listed, now)
 
     def _apply_figures(self, update: messages.FleetUpdate) -> None:
         self.model = ModelName(update.model)
@@ -157,11 +156,11 @@
         self.origin = Address(update.origin) if update.origin else None
         self.origin_bytes_per_s = float(update.origin_bytes_per_s)
 
-    def _target_entry(self, told: messages.ServiceTarget) -> TargetEntry:
+    def _target_entry(self, listed_target: messages.ServiceTarget) -> TargetEntry:
         return TargetEntry(
-            TargetName(told.name),
+            TargetName(listed_target.name),
             self._name,
-            Address(told.address),
-            Place(told.place),
-            born_ms=told.born_ms,
+            Address(listed_target.address),
+            Place(listed_target.place),
+            born_ms=listed_target.born_ms,
         )
--- a/src/lacewinggw/loader/slots.py
+++ b/src/lacewinggw/loader/slots.py
@@ -1,4 +1,4 @@
-"""The agent's end of leases on its target's slots: entries ask, wait, and give them back."""
+"""The agent's side of leases on its target's slots, which entries request and return."""
 
 import asyncio
 import itertools
@@ -15,94 +15,95 @@
 
 MS_PER_S = 1000.0
 US_PER_S = 1e6
-TIMER_MARGIN_S = 0.001  # timers are no finer
+TIMER_MARGIN_S = 0.001  # the resolution of timers
 
 log = get_logger(__name__)
 
 
 class AgentSlotService:
-    """Gives out the slots of one target.
+    """Grants the slots of one target to entries.
 
-    desk = SlotDesk(metrics)
-    await desk.serve(exchange, ask)  # until the entry gives the slot back, or its link breaks
-    desk.note_target(running=5, begins=True)
+    slots = AgentSlotService(metrics)
+    await slots.serve(exchange, request)  # until the entry returns the slot, or its link breaks
+    slots.update_target(running=5, accepts_work=True)
     """
 
     def __init__(self, metrics: Metrics) -> None:
-        self._ledger = SlotAllocator()
+        self._allocator = SlotAllocator()
         self._exchanges: dict[LeaseId, Exchange] = {}
         self._numbers = itertools.count()
         self._recheck_timer: asyncio.TimerHandle | None = None
         self._counts = {
             state: metrics.counter("slots_asked", outcome=state.name.lower()) for state in SlotState
         }
-        metrics.read_gauge("slots_taken", lambda: self._ledger.taken)
-        metrics.read_gauge("slots_waited_for", lambda: self._ledger.waiting)
+        metrics.read_gauge("slots_taken", lambda: self._allocator.taken)
+        metrics.read_gauge("slots_waited_for", lambda: self._allocator.waiting)
 
     @property
     def taken(self) -> int:
-        """How many slots are taken."""
-        return self._ledger.taken
+        """The number of slots that are taken."""
+        return self._allocator.taken
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a slot."""
-        return self._ledger.waiting
+        """The number of requests that wait for a slot."""
+        return self._allocator.waiting
 
     def close(self) -> None:
-        """Stop looking after the line."""
+        """Cancel the timer that checks the queue."""
         self._cancel_recheck()
 
     def update_target(self, running: int | None, accepts_work: bool) -> None:
-        """Take what the target has running and queued, None where it does not answer.
+        """Set how many requests the target has running and queued, None if it does not answer.
 
-        One that `begins` nothing, as it loads, gets nothing, and who waits for it is told.
+        While the target accepts no work, for example because it loads weights, no slots are granted
+        and waiting requests are declined.
         """
         if running is not None:
-            self._ledger.note_report(running, _now())
+            self._allocator.note_report(running, _now())
         if accepts_work and running is not None:
-            if not self._ledger.is_open:
+            if not self._allocator.is_open:
                 log.info("slots_opened", running=running)
-            self._ledger.open()
+            self._allocator.open()
             self._grant()
-        elif self._ledger.is_open:
+        elif self._allocator.is_open:
             log.info("slots_closed", taken=self.taken, waiting=self.waiting)
-            self._notify(self._ledger.close(), SlotState.DECLINED)
+            self._notify(self._allocator.close(), SlotState.DECLINED)
 
-    async def serve(self, exchange: Exchange, ask: messages.AskSlot) -> None:
-        """Look after one lease from its asking to its end."""
-        require_sound(ask)
-        if not self._ledger.is_open:
+    async def serve(self, exchange: Exchange, request: messages.AskSlot) -> None:
+        """Handle one lease from its request to its end."""
+        require_sound(request)
+        if not self._allocator.is_open:
             self._counts[SlotState.DECLINED].add()
             exchange.finish(messages.SlotUpdate(SlotState.DECLINED))
             return
         lease = LeaseId(next(self._numbers))
         self._exchanges[lease] = exchange
-        self._ledger.slots = ask.slots
-        self._ledger.enqueue(lease, _slot_request(ask), _now())
+        self._allocator.slots = request.slots
+        self._allocator.enqueue(lease, _slot_request(request), _now())
         try:
             if not self._grant(lease):
                 self._notify([lease], SlotState.QUEUED)
             await exchange.follow_up()
         finally:
             del self._exchanges[lease]
-            self._ledger.release(lease)
+            self._allocator.release(lease)
             self._grant()
         exchange.end_quietly()
 
-    def _grant(self, asked: LeaseId | None = None) -> bool:
-        """Give what is free to those in line; return whether `asked` is settled by it."""
+    def _grant(self, requested: LeaseId | None = None) -> bool:
+        """Grant the free slots; return whether `requested` was granted or overtaken."""
         now = _now()
-        given = self._ledger.grant(now)
-        self._notify(given, SlotState.GRANTED)
-        overtaken = self._ledger.drop_overtaken(now)
+        granted = self._allocator.grant(now)
+        self._notify(granted, SlotState.GRANTED)
+        overtaken = self._allocator.drop_overtaken(now)
         self._notify(overtaken, SlotState.OVERTAKEN)
         self._cancel_recheck()
-        look_at = self._ledger.next_check_at(now)
-        if look_at is not None and look_at > now:
+        check_at = self._allocator.next_check_at(now)
+        if check_at is not None and check_at > now:
             loop = asyncio.get_running_loop()
-            self._recheck_timer = loop.call_at(look_at + TIMER_MARGIN_S, self._grant)
-        return asked in given or asked in overtaken
+            self._recheck_timer = loop.call_at(check_at + TIMER_MARGIN_S, self._grant)
+        return requested in granted or requested in overtaken
 
     def _notify(self, leases: Iterable[LeaseId], state: SlotState) -> None:
         for lease in leases:
@@ -115,15 +116,15 @@
             self._recheck_timer = None
 
 
-def _slot_request(ask: messages.AskSlot) -> SlotRequest:
-    suspect = RequestDigest(ask.suspect) if ask.suspect else None
+def _slot_request(request: messages.AskSlot) -> SlotRequest:
+    suspect = RequestDigest(request.suspect) if request.suspect else None
     return SlotRequest(
-        rank=ask.rank,
-        is_late=ask.late,
-        wait_s=ask.wait_ms / MS_PER_S,
-        prefill_s=ask.reading_us / US_PER_S,
+        rank=request.rank,
+        is_late=request.late,
+        wait_s=request.wait_ms / MS_PER_S,
+        prefill_s=request.reading_us / US_PER_S,
         suspect=suspect,
-        waited_s=ask.waited_us / US_PER_S,
+        waited_s=request.waited_us / US_PER_S,
     )
 
 
--- a/tests/fleet/test_agent_slots.py
+++ b/tests/fleet/test_agent_slots.py
@@ -1,4 +1,4 @@
-"""Slots of engines, asked of the agents beside them: entries and agents as they run."""
+"""Slots of engines that entries request from agents, with complete entries and agents."""
 
 import asyncio
 
@@ -17,19 +17,19 @@
     return await asyncio.gather(*asks)
 
 
-async def watch(fleet, most):
+async def watch(fleet, peak_running):
     while True:
         for name, target in fleet.targets.items():
-            most[name] = max(most.get(name, 0), target.running)
+            peak_running[name] = max(peak_running.get(name, 0), target.running)
         await asyncio.sleep(0.002)
 
 
-async def ask_and_watch(fleet, count, entries):
-    most = {}
-    watching = asyncio.get_running_loop().create_task(watch(fleet, most))
+async def request_and_watch(fleet, count, entries):
+    peak_running = {}
+    watching = asyncio.get_running_loop().create_task(watch(fleet, peak_running))
     replies = await ask(fleet, count, entries)
     watching.cancel()
-    return [reply.status for reply in replies], most
+    return [reply.status for reply in replies], peak_running
 
 
 async def start_agents(fleet, *names):
@@ -39,19 +39,19 @@
 
 
 async def test_many_entries_never_send_an_engine_more_than_it_has_slots():
-    # 42 entries that each saw the same slots fall free had engines refuse 13,943 of 23,170
-    # requests as full; 2,873 callers got 502.
+    # When 42 entries saw the same slots become free, engines refused 13,943 of 23,170 requests
+    # because they were full, and 2,873 callers received status 502.
     async with running_fleet(engines=2, entries=4) as fleet:
         await start_agents(fleet, "engine0", "engine1")
         for target in fleet.targets.values():
             target.behaviour.pause_s = 0.02
-        statuses, most = await ask_and_watch(fleet, 40, entries=4)
-        assert most["engine0"] == most["engine1"] == SLOTS
+        statuses, peak_running = await request_and_watch(fleet, 40, entries=4)
+        assert peak_running["engine0"] == peak_running["engine1"] == SLOTS
         assert statuses.count(200) >= 3 * 2 * SLOTS  # some wait for those before them
         assert set(statuses) <= {200, 503}
 
 
-async def test_a_slot_comes_back_when_its_caller_leaves():
+async def test_a_slot_is_returned_when_its_caller_disconnects():
     async with running_fleet(engines=1) as fleet:
         await start_agents(fleet, "engine0")
         fleet.targets["engine0"].behaviour.pause_s = 0.3
@@ -61,11 +61,11 @@
         await asyncio.gather(*leaving)
         fleet.targets["engine0"].behaviour.pause_s = 0.01
         await asyncio.sleep(0.4)
-        statuses, _ = await ask_and_watch(fleet, SLOTS, entries=1)
+        statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
 
 
-async def test_slots_of_an_entry_that_dies_come_back():
+async def test_slots_of_an_entry_that_dies_are_returned():
     async with running_fleet(engines=1, entries=2) as fleet:
         await start_agents(fleet, "engine0")
         fleet.targets["engine0"].behaviour.pause_s = 0.3
@@ -76,39 +76,39 @@
         fleet.network.lose("10.1.0.2")
         await asyncio.sleep(0.5)
         fleet.targets["engine0"].behaviour.pause_s = 0.01
-        statuses, _ = await ask_and_watch(fleet, 1, entries=1)
+        statuses, _ = await request_and_watch(fleet, 1, entries=1)
         assert statuses == [200]
         lost.cancel()
 
 
-async def test_an_agent_that_falls_silent_holds_nothing_up():
+async def test_an_unresponsive_agent_delays_no_requests():
     async with running_fleet(engines=2) as fleet:
         await start_agents(fleet, "engine0", "engine1")
 
-        async def say_nothing(exchange, question):
+        async def never_reply(exchange, question):
             await asyncio.sleep(3600)
 
-        fleet.agents["engine0"]._slots.serve = say_nothing
-        began = asyncio.get_running_loop().time()
-        statuses, _ = await ask_and_watch(fleet, SLOTS, entries=1)
+        fleet.agents["engine0"]._slots.serve = never_reply
+        started_at = asyncio.get_running_loop().time()
+        statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
-        assert asyncio.get_running_loop().time() - began < 0.3
+        assert asyncio.get_running_loop().time() - started_at < 0.3
 
 
-async def test_without_agents_entries_go_by_what_they_know():
+async def test_without_agents_entries_use_their_cached_state():
     async with running_fleet(engines=1) as fleet:
         await start_agents(fleet, "engine0")
         await fleet.agents.pop("engine0").close()
         await asyncio.sleep(3.5)
-        statuses, _ = await ask_and_watch(fleet, SLOTS, entries=1)
+        statuses, _ = await request_and_watch(fleet, SLOTS, entries=1)
         assert statuses == SLOTS * [200]
 
 
-async def test_an_engine_that_loads_gives_no_slots_and_who_waits_goes_elsewhere():
+async def test_an_engine_that_loads_grants_no_slots_and_requests_go_elsewhere():
     async with running_fleet(engines=2) as fleet:
         await start_agents(fleet, "engine0", "engine1")
         slots = fleet.agents["engine0"]._slots
         slots.update_target(running=0, accepts_work=False)
         slots.update_target = lambda running, accepts_work: None
-        statuses, most = await ask_and_watch(fleet, SLOTS, entries=1)
-        assert statuses == SLOTS * [200] and most["engine0"] == 0
+        statuses, peak_running = await request_and_watch(fleet, SLOTS, entries=1)
+        assert statuses == SLOTS * [200] and peak_running["engine0"] == 0
--- a/tests/fleet/test_weights_burst.py
+++ b/tests/fleet/test_weights_burst.py
@@ -1,4 +1,4 @@
-"""From a named version to every engine, and from nothing, with origin, pieces, orders failing."""
+"""Loading a version into every engine, also when the origin, pieces or orders fail."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 EVERY_PIECE = [piece(2, index) for index in range(CHUNKS)]
 
 
-async def with_agents(fleet: DeclaredFleet) -> list[TargetStandIn]:
+async def start_agents(fleet: DeclaredFleet) -> list[TargetStandIn]:
     engines = [name for name in fleet.targets if name.startswith("engine")]
     for name in engines:
         target = fleet.targets[name]
@@ -29,7 +29,7 @@
 
 async def test_every_engine_has_a_named_version_in_time():
     async with running_fleet(engines=4) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(8.0)
         assert [engine.weights[MODEL] for engine in engines] == [2] * 4
@@ -39,16 +39,16 @@
 
 async def test_half_of_the_engines_serve_the_old_version_until_the_others_have_the_new_one():
     async with running_fleet(engines=4) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(4.0)
         assert sorted(engine.weights[MODEL] for engine in engines) == [1, 1, 2, 2]
         assert [engine.busy for engine in engines] == [False] * 4
 
 
-async def test_a_piece_that_turned_bad_where_it_lies_is_staged_again():
+async def test_a_piece_that_is_corrupted_while_staged_is_staged_again():
     async with running_fleet(engines=1) as fleet:
-        (engine,) = await with_agents(fleet)
+        (engine,) = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(4.0)
         engine.staged[3] = b"rotten"
@@ -56,18 +56,18 @@
         assert engine.loaded == EVERY_PIECE
 
 
-async def test_a_piece_that_came_spoilt_from_the_origin_is_fetched_again():
+async def test_a_piece_that_arrives_corrupt_from_the_origin_is_fetched_again():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         fleet.origin.corrupt = {1, 5}
         name_version(fleet, 2)
         await asyncio.sleep(8.0)
         assert all(engine.loaded == EVERY_PIECE for engine in engines)
 
 
-async def test_an_origin_that_is_away_for_a_while_is_asked_again():
+async def test_an_origin_that_was_unavailable_is_requested_again():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         fleet.origin.faults.outage = Outage.CUT
         name_version(fleet, 2)
         await asyncio.sleep(3.0)
@@ -78,7 +78,7 @@
 
 async def test_an_empty_engine_gets_its_pieces_from_the_others():
     async with running_fleet(engines=2) as fleet:
-        await with_agents(fleet)
+        await start_agents(fleet)
         empty = await fleet.add_target("empty", LLM, "10.2.0.9", Models=[])
         empty.weights = {}
         await fleet.add_agent("empty")
@@ -89,16 +89,16 @@
 
 async def test_an_engine_that_restarted_uses_what_is_still_staged():
     async with running_fleet(engines=1) as fleet:
-        (engine,) = await with_agents(fleet)
+        (engine,) = await start_agents(fleet)
         engine.weights = {}
         await asyncio.sleep(1.0)
         assert engine.weights == {MODEL: 1}
         assert fleet.origin.sent == []
 
 
-async def test_an_order_that_is_refused_is_given_anew_from_what_the_engine_says():
+async def test_a_refused_order_is_repeated_with_the_state_that_the_engine_reports():
     async with running_fleet(engines=1) as fleet:
-        (engine,) = await with_agents(fleet)
+        (engine,) = await start_agents(fleet)
         name_version(fleet, 2)
         await asyncio.sleep(4.0)
         engine.orders.append({"Operation": "of somebody else"})
@@ -106,9 +106,9 @@
         assert engine.weights == {MODEL: 2}
 
 
-async def test_agents_learn_of_a_version_while_the_store_turns_them_away():
+async def test_agents_receive_a_version_while_they_cannot_reach_the_store():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         for number in (1, 2):
             fleet.network.cut(f"10.2.0.{number}", "10.9.0.1")
         name_version(fleet, 2)
@@ -116,9 +116,9 @@
         assert [engine.weights[MODEL] for engine in engines] == [2, 2]
 
 
-async def test_agents_read_the_store_themselves_while_no_entry_speaks():
+async def test_agents_read_the_store_while_no_entry_sends_updates():
     async with running_fleet(engines=2) as fleet:
-        engines = await with_agents(fleet)
+        engines = await start_agents(fleet)
         await fleet.entries[0].close()
         await asyncio.sleep(5.0)
         name_version(fleet, 2)
@@ -126,9 +126,9 @@
         assert [engine.weights[MODEL] for engine in engines] == [2, 2]
 
 
-async def test_agents_leave_the_store_alone_while_entries_speak():
+async def test_agents_do_not_read_the_store_while_entries_send_updates():
     async with running_fleet(engines=2) as fleet:
-        await with_agents(fleet)
+        await start_agents(fleet)
         for number in (1, 2):
             fleet.network.cut(f"10.2.0.{number}", "10.9.0.1")
         await asyncio.sleep(10.0)
@@ -140,12 +140,12 @@
         assert max(reads) <= 4
 
 
-async def test_pieces_that_lie_staged_are_used_though_their_engine_is_back_after_its_agent():
-    """After a loss of power many agents were up before their engines, which refused connections.
+async def test_staged_pieces_are_used_although_the_engine_starts_after_its_agent():
+    """After a power failure many agents started before their engines, which refused connections.
 
-    They took nothing for staged (31 times `staged_pieces_unread` from 18 s on) and fetched whole
-    copies anew: the origin sent one copy more, and some engines were ordered to load 2.9 to 5.4 s
-    after the start of their agents, most after 0.5 to 2.0 s.
+    The agents assumed that nothing was staged (`staged_pieces_unread` was logged 31 times from 18 s
+    on) and fetched complete copies again. The origin sent one copy more, and some engines were
+    ordered to load 2.9 to 5.4 s after the start of their agents, most after 0.5 to 2.0 s.
     """
     async with running_fleet(engines=1) as fleet:
         engine = fleet.targets["engine0"]
@@ -156,7 +156,7 @@
         await fleet.add_agent("engine0")
         await asyncio.sleep(1.5)
         await engine.start()
-        drawn = len(fleet.origin.sent)
+        sent_before = len(fleet.origin.sent)
         await asyncio.sleep(1.0)
         assert engine.weights == {MODEL: 1}
-        assert len(fleet.origin.sent) <= drawn + 1  # one may be on its way
+        assert len(fleet.origin.sent) <= sent_before + 1  # one may be in transit
