--- a/src/lacewinggw/decisions/__init__.py
+++ b/src/lacewinggw/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure policy: state and events in, actions out; no I/O and no clock of its own."""
+"""Pure decisions: functions of state, events and the given time, without I/O or a clock."""
--- a/src/lacewinggw/decisions/addresses.py
+++ b/src/lacewinggw/decisions/addresses.py
@@ -1,8 +1,8 @@
-"""Which entries a client account is told to use.
+"""The entries that a client account uses.
 
-A rendezvous subset: every entry works it out alike from the list of live entries, and losing an
-entry changes the answers of only those accounts that used it. The account's limit is split over
-the same subset, so a larger limit gets more entries.
+They are a subset by rendezvous hashing: every entry computes the same subset from the list of live
+entries, and losing an entry changes the subsets of only those accounts that used it. The account's
+limit is split over the same subset, so a larger limit gets more entries.
 """
 
 import math
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class LiveEntry:
-    """A live entry: its host, its place and the address that callers use."""
+    """A live entry: its host, its place and its address for callers."""
 
     host: HostId
     place: Place
@@ -35,9 +35,10 @@
 
 
 def count_addresses(rate_per_s: float, least: int, rate_per_address: float) -> int:
-    """Return how many entries an account with this limit is spread over.
+    """Return over how many entries to spread an account with this rate limit.
 
-    At least `least`, for the loss of one; more when the limit is over what one should carry.
+    There are at least `least`, to survive the loss of one, and enough that none has to admit more
+    than `rate_per_address`.
     """
     if rate_per_address <= 0:
         return max(1, least)
@@ -49,7 +50,8 @@
 ) -> tuple[LiveEntry, ...]:
     """Return the `count` entries of an account, the same in every process.
 
-    Places are taken in turn, each by its best entry, so that a lost place leaves some of them.
+    Places alternate, each with its highest-ranked entry, so that some entries survive the loss of a
+    place.
 
         account_entries(Account("buyers"), entries, 3)
     """
@@ -58,11 +60,11 @@
         by_place.setdefault(entry.place, []).append(entry)
     ranked: list[tuple[int, int, HostId, LiveEntry]] = []
     for members in by_place.values():
-        weighed = [
+        weighted = [
             (-rendezvous_weight(account, entry.host), entry.host, entry) for entry in members
         ]
-        for turn, (weight, host, entry) in enumerate(sorted(weighed, key=lambda item: item[:2])):
-            ranked.append((turn, weight, host, entry))
+        for rank, (weight, host, entry) in enumerate(sorted(weighted, key=lambda item: item[:2])):
+            ranked.append((rank, weight, host, entry))
     ranked.sort(key=lambda item: item[:3])
     return tuple(entry for _, _, _, entry in ranked[:count])
 
@@ -70,7 +72,7 @@
 def answer_addresses(
     account: Account, entries: Iterable[LiveEntry], count: int, rng: random.Random
 ) -> Sequence[Address]:
-    """Return the addresses to tell an account, in an order that spreads its callers evenly."""
+    """Return the addresses for an account, shuffled so that its callers spread evenly."""
     chosen = [entry.address for entry in account_entries(account, entries, count)]
     rng.shuffle(chosen)
     return chosen
--- a/src/lacewinggw/decisions/admission.py
+++ b/src/lacewinggw/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Whether a target takes a request: slots, those kept for urgent ones, and the expected wait.
+"""Admission of requests to a target: its slots, those reserved for urgent requests, and the wait.
 
-A target runs up to `capacity` requests at once. Of these slots a share is kept for urgent
-requests, but only as many as urgent requests have lately used at once, and one more: a service
-without urgent requests loses nothing.
+A target runs up to `capacity` requests concurrently. A share of these slots is reserved for urgent
+requests, but only one more than urgent requests have recently used at once: a service without
+urgent requests loses no capacity.
 """
 
 import math
@@ -11,9 +11,9 @@
 from lacewinggw.generated.messages.ttypes import Priority
 
 SMOOTHING = 0.1
-MIN_TIME_RECOVERY = 0.05  # how fast the shortest time is forgotten
-URGENT_WINDOW_S = 30.0  # so long the need for kept slots is remembered
-INITIAL_REQUEST_S = 0.05  # of the time one request runs, before any ran
+MIN_TIME_RECOVERY = 0.05  # how fast the shortest request time rises towards the smoothed one
+URGENT_WINDOW_S = 30.0  # slots stay reserved for this long after the last urgent request
+INITIAL_REQUEST_S = 0.05  # assumed time of a request until one has run
 
 
 @dataclass
@@ -21,7 +21,7 @@
     """The running requests of one target. Times in seconds.
 
     slots = Slots(capacity=8, urgent_share=0.2)
-    if slots.has_room(Priority.NORMAL, now):
+    if slots.has_free_slot(Priority.NORMAL, now):
         slots.begin(Priority.NORMAL, now)
     """
 
@@ -32,11 +32,11 @@
     request_s: float = field(default=INITIAL_REQUEST_S)
     _urgent_peak: int = 0
     _urgent_seen_at: float = -math.inf
-    min_request_s: float = 0.0  # shortest that a request ran lately
+    min_request_s: float = 0.0  # the shortest recent time of a request
     has_samples: bool = False
 
     def reserved(self, now: float) -> int:
-        """Return how many free slots are kept for urgent requests now."""
+        """Return how many free slots are reserved for urgent requests now."""
         if now - self._urgent_seen_at > URGENT_WINDOW_S:
             return 0
         most = min(self.capacity - 1, math.ceil(self.capacity * self.urgent_share))
@@ -57,14 +57,14 @@
             self.note_urgent(now)
 
     def note_urgent(self, now: float) -> None:
-        """Note that an urgent request is here."""
+        """Note that an urgent request has arrived."""
         if now - self._urgent_seen_at > URGENT_WINDOW_S:
             self._urgent_peak = 0
         self._urgent_peak = max(self._urgent_peak, self.running_urgent)
         self._urgent_seen_at = now
 
     def end(self, priority: Priority, ran_s: float | None) -> None:
-        """Note that a request ended; `ran_s` is how long it ran, none if that says nothing."""
+        """Note that a request ended after `ran_s` seconds; None if that time is not meaningful."""
         self.running -= 1
         if priority is Priority.URGENT:
             self.running_urgent -= 1
@@ -80,7 +80,7 @@
         )
 
     def expected_wait(self, ahead: int) -> float:
-        """Return the expected wait of a request with `ahead` others before it, in seconds."""
+        """Return the expected wait of a request with `ahead` requests before it, in seconds."""
         if self.running < self.capacity:
             return 0.0
         return (ahead + 1) * self.request_s / self.capacity
--- a/src/lacewinggw/decisions/affinity.py
+++ b/src/lacewinggw/decisions/affinity.py
@@ -1,9 +1,9 @@
-"""Prefix affinity: requests that begin alike go where their beginning is cached.
+"""Prefix affinity: requests with a common prefix are sent to the target that has it cached.
 
-A prompt's leading blocks have hashes, each over all text up to the block's end. A request goes to
-the target that last got its longest known prefix from this entry; else to the first in rendezvous
-order for an early block, which every entry works out alike without a message. Either only while
-that target has room: affinity bends to load, never the other way round.
+Each leading block of a prompt has a hash over all text up to the block's end. A request goes to the
+target that this entry last sent its longest known prefix to. Otherwise it goes to the first target
+in rendezvous order for an early block, which every entry computes alike without messages. Either
+applies only while that target has spare capacity: load takes precedence over affinity.
 """
 
 import hashlib
@@ -16,34 +16,34 @@
 from lacewinggw.ids import Digest, HostId
 
 BLOCK_CHARS = 64
-MAX_BLOCKS = 16  # blocks of a prompt that are looked at
-RENDEZVOUS_BLOCK = 4  # the block that rendezvous goes by, counted from 1
+MAX_BLOCKS = 16  # leading blocks of a prompt that are hashed
+RENDEZVOUS_BLOCK = 4  # the block that is the key of rendezvous hashing, counted from 1
 BLOCK_NAME_DIGITS = 16
 MAX_INDEXED_BLOCKS = 20_000
-FREE_OCCUPANCY = 0.75  # up to this share of its capacity a target always has room
-LOAD_BOUND = 1.25  # above it, room means at most this much over the mean
-SLOW_FACTOR = 2.0  # a target this much slower than usual is left to the general choice
+FREE_OCCUPANCY = 0.75  # up to this share of its capacity a target always has spare capacity
+LOAD_BOUND = 1.25  # above that share, it has spare capacity up to this multiple of the mean
+SLOW_FACTOR = 2.0  # affinity does not choose a target slower than typical by this factor
 
 
 def prefix_blocks(prompt: str, limit: int = MAX_BLOCKS) -> list[str]:
     """Return a hash for each whole leading block of a prompt, the first `limit` of them."""
-    running = hashlib.sha256()
+    hasher = hashlib.sha256()
     blocks = []
     for start in range(0, len(prompt) - BLOCK_CHARS + 1, BLOCK_CHARS)[:limit]:
-        running.update(prompt[start : start + BLOCK_CHARS].encode())
-        blocks.append(running.hexdigest()[:BLOCK_NAME_DIGITS])
+        hasher.update(prompt[start : start + BLOCK_CHARS].encode())
+        blocks.append(hasher.hexdigest()[:BLOCK_NAME_DIGITS])
     return blocks
 
 
 @dataclass
 class PrefixIndex:
-    """Where blocks were sent last, the least recently used forgotten first."""
+    """The target that each block was last sent to, in an LRU cache."""
 
     limit: int = MAX_INDEXED_BLOCKS
     _hosts: OrderedDict[tuple[Digest, str], HostId] = field(default_factory=OrderedDict)
 
     def find(self, digest: Digest, blocks: Sequence[str]) -> HostId | None:
-        """Return the target that got the longest of these prefixes, if any is known."""
+        """Return the target that was last sent the longest of these prefixes, or None."""
         for block in reversed(blocks):
             host = self._hosts.get((digest, block))
             if host is not None:
@@ -51,7 +51,7 @@
         return None
 
     def note(self, digest: Digest, blocks: Sequence[str], host: HostId) -> None:
-        """Note that a request with these blocks went to a target."""
+        """Note that a request with these blocks was sent to a target."""
         for block in blocks:
             self._hosts[digest, block] = host
             self._hosts.move_to_end((digest, block))
@@ -65,31 +65,29 @@
     """Return whether affinity may send one more request to a target."""
     if request_time(stats, context) > SLOW_FACTOR * context.typical_s:
         return False
-    own = occupancy(stats, context)
-    if own <= FREE_OCCUPANCY:
+    own_occupancy = occupancy(stats, context)
+    if own_occupancy <= FREE_OCCUPANCY:
         return True
     mean = sum(occupancy(each, context) for each in targets) / len(targets)
-    return own <= LOAD_BOUND * mean
+    return own_occupancy <= LOAD_BOUND * mean
 
 
 def preferred_target(
     targets: Sequence[TargetStats],
     blocks: Sequence[str],
-    memory: PrefixIndex,
+    index: PrefixIndex,
     context: RoutingContext,
 ) -> TargetStats | None:
-    """Return the target that should have the prefix of a request, if there is one with room."""
+    """Return the target expected to cache the prefix, or None if it has no spare capacity."""
     if not blocks or not targets:
         return None
-    remembered = {
-        digest: memory.find(digest, blocks) for digest in {stats.digest for stats in targets}
-    }
+    indexed = {digest: index.find(digest, blocks) for digest in {stats.digest for stats in targets}}
     for stats in targets:
-        if remembered[stats.digest] == stats.host and has_spare_capacity(stats, targets, context):
+        if indexed[stats.digest] == stats.host and has_spare_capacity(stats, targets, context):
             return stats
     key = blocks[min(RENDEZVOUS_BLOCK, len(blocks)) - 1]
-    first = max(targets, key=lambda stats: _weight(key, stats))
-    return first if has_spare_capacity(first, targets, context) else None
+    preferred = max(targets, key=lambda stats: _weight(key, stats))
+    return preferred if has_spare_capacity(preferred, targets, context) else None
 
 
 def _weight(key: str, stats: TargetStats) -> tuple[int, HostId]:
--- a/src/lacewinggw/decisions/atmostonce.py
+++ b/src/lacewinggw/decisions/atmostonce.py
@@ -1,14 +1,15 @@
-"""At most once, as an agent sees it: which runs it allowed, and what it can prove of each.
-
-A run is named by the nonce of a reservation or, where there was none, by its request id. The book
-answers one question truly for as long as it is asked: did this run start? What it has forgotten it
-calls unknown, never "not started".
-
-    book = RunBook(incarnation, rng)
-    nonce = book.reserve(life_s=5.0, now=now)
-    match book.take(nonce, now):
-        case Taken(): ...       # it may run: book.start(nonce), book.finish(nonce)
-        case Known(standing): ...  # it ran, or never will
+"""At-most-once execution on an agent: which runs were accepted, and whether each has started.
+
+A run is named by the nonce of a reservation or, without one, by its request id and attempt. The
+registry answers correctly, at any time, whether a run has started. For a run whose record was
+dropped the answer is "unknown", never "not started".
+
+    registry = RunRegistry(incarnation, rng)
+    nonce = registry.reserve(life_s=5.0, now=now)
+    match registry.take(nonce, now, is_nonce=True):
+        case AcceptedRun(): ...           # run it: registry.start(nonce), registry.finish(nonce)
+        case AlreadyTaken(state): ...  # it was taken before
+        case Rejected(cause): ...      # it must not run
 """
 
 import random
@@ -22,7 +23,7 @@
 
 RunId = NewType("RunId", str)
 
-RETENTION_S = 900.0  # how long a run is remembered after it was last heard of
+RETENTION_S = 900.0  # how long the record of a run is kept after its last change
 MAX_DEADLINE_S = 600.0  # no request lives longer
 MAX_RESERVATION_S = 600.0
 NONCE_BITS = 64
@@ -30,26 +31,26 @@
 
 
 class RunState(Enum):
-    """How far a run has come."""
+    """The state of a run."""
 
-    TAKEN = "taken"  # it waits, and may still be withdrawn
+    TAKEN = "taken"  # it waits and may still be withdrawn
     STARTED = "started"
     FINISHED = "finished"
-    NEVER = "never"  # withdrawn or refused: it did not start and never will
+    NEVER = "never"  # withdrawn or refused: it has not started and never will
 
 
 class RejectionCause(Enum):
-    """Why a run cannot be taken, though it is not known here to have started."""
+    """Why a run is rejected although no start of it is on record."""
 
     WITHDRAWN = "withdrawn"
-    LAPSED = "lapsed"  # the reservation expired, or was never given: it will never start
-    OTHER_INCARNATION = "other-incarnation"  # given by an agent that is gone
-    FORGOTTEN = "forgotten"
+    LAPSED = "lapsed"  # the reservation expired or was never issued: the run will never start
+    OTHER_INCARNATION = "other-incarnation"  # issued by an earlier incarnation of the agent
+    FORGOTTEN = "forgotten"  # so old that its record may have been dropped
 
 
 @dataclass(frozen=True)
 class AcceptedRun:
-    """The run may go on: this is its only time."""
+    """The run may execute, now and never again."""
 
 
 @dataclass(frozen=True)
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The run cannot go on."""
+    """The run must not execute."""
 
     cause: RejectionCause
 
@@ -73,12 +74,12 @@
 
 
 def nonce_incarnation(nonce: str) -> Incarnation:
-    """Return the incarnation of the agent that gave a nonce."""
+    """Return the incarnation of the agent that issued a nonce."""
     return Incarnation(nonce.partition(NONCE_SEPARATOR)[0])
 
 
 def _nonce_number(nonce: str) -> int | None:
-    """Return the running number within a nonce, None when it is no nonce."""
+    """Return the sequence number within a nonce, or None for any other text."""
     try:
         return int(nonce.split(NONCE_SEPARATOR)[1], 16)
     except (IndexError, ValueError):
@@ -88,9 +89,9 @@
 class RunRegistry:
     """The runs of one incarnation of an agent, by the agent's own clock.
 
-    Reservations are held until they expire, runs until `HORIZON_S` after they ended. Of those
-    forgotten the highest number remains, so that a later question about one of them is answered
-    with "forgotten".
+    Reservations are kept until they expire, runs until `RETENTION_S` after they ended. The highest
+    number of the dropped runs is kept, so that a later query for one of them is answered with
+    "forgotten".
     """
 
     def __init__(self, incarnation: Incarnation, rng: random.Random) -> None:
@@ -107,7 +108,7 @@
         return len(self._reserved)
 
     def __len__(self) -> int:
-        """Return how many runs are remembered."""
+        """Return how many runs are on record."""
         return len(self._records)
 
     def count_open(self, now: float) -> int:
@@ -115,7 +116,7 @@
         return sum(expires_at > now for expires_at in self._reserved.values())
 
     def reserve(self, life_s: float, now: float) -> RunId:
-        """Give a nonce that may be taken once within `life_s` seconds."""
+        """Return a new nonce that may be taken once within `life_s` seconds."""
         self._prune(now)
         self._issued += 1
         secret = f"{self._rng.getrandbits(NONCE_BITS):0{NONCE_BITS // 4}x}"
@@ -125,7 +126,7 @@
         return nonce
 
     def look_up(self, run: RunId, now: float, is_nonce: bool) -> AlreadyTaken | Rejected | None:
-        """Return what stands against taking a run, None when it may be taken."""
+        """Return why a run cannot be taken, or None if it can."""
         self._prune(now)
         record = self._records.get(run)
         if record is not None:
@@ -134,26 +135,26 @@
             return AlreadyTaken(record.state)
         if not is_nonce:
             return None
-        if self._is_out_of_sight(run):
-            foreign = nonce_incarnation(run) != self._incarnation
+        if self._is_untracked(run):
+            is_foreign = nonce_incarnation(run) != self._incarnation
             return Rejected(
-                RejectionCause.OTHER_INCARNATION if foreign else RejectionCause.FORGOTTEN
+                RejectionCause.OTHER_INCARNATION if is_foreign else RejectionCause.FORGOTTEN
             )
         if self._reserved.get(run, now) <= now:
             return Rejected(RejectionCause.LAPSED)
         return None
 
     def take(self, run: RunId, now: float, is_nonce: bool) -> AcceptedRun | AlreadyTaken | Rejected:
-        """Take a run, which succeeds once."""
-        obstacle = self.look_up(run, now, is_nonce)
-        if obstacle is not None:
-            return obstacle
+        """Take a run; this succeeds only once for each run."""
+        rejection = self.look_up(run, now, is_nonce)
+        if rejection is not None:
+            return rejection
         self._reserved.pop(run, None)
         self._records[run] = _Record(RunState.TAKEN, now)
         return AcceptedRun()
 
     def start(self, run: RunId, now: float) -> bool:
-        """Note that a run taken before starts now; return False when it was withdrawn."""
+        """Note that a taken run starts now; return False if it was withdrawn or never taken."""
         record = self._records.get(run)
         if record is None or record.state is not RunState.TAKEN:
             return False
@@ -165,11 +166,11 @@
         self._note(run, RunState.FINISHED, now)
 
     def refuse(self, run: RunId, now: float) -> None:
-        """Note that a run taken before did not run and never will."""
+        """Note that a taken run has not started and never will."""
         self._note(run, RunState.NEVER, now)
 
     def withdraw(self, run: RunId, now: float, is_nonce: bool) -> Standing:
-        """Bar a run that has not started, and return what is known of it."""
+        """Keep a run from starting if it has not started; return its status."""
         self._prune(now)
         record = self._records.get(run)
         if record is not None:
@@ -180,14 +181,14 @@
                     return Standing.FINISHED
             self._note(run, RunState.NEVER, now)
             return Standing.NEVER_STARTED
-        if is_nonce and self._is_out_of_sight(run):
+        if is_nonce and self._is_untracked(run):
             return Standing.UNKNOWN
         self._reserved.pop(run, None)
         self._note(run, RunState.NEVER, now)
         return Standing.NEVER_STARTED
 
-    def _is_out_of_sight(self, nonce: RunId) -> bool:
-        """Return whether the nonce is another agent's, or so old that its run may be forgotten."""
+    def _is_untracked(self, nonce: RunId) -> bool:
+        """Return whether a nonce is another agent's, or its record may have been dropped."""
         number = _nonce_number(nonce)
         if nonce_incarnation(nonce) != self._incarnation or number is None:
             return True
@@ -213,5 +214,5 @@
 
 
 def run_id(nonce: str, request_id: RequestId | str, attempt: int) -> RunId:
-    """Return the name of a run: its nonce, or where there is none its request id and attempt."""
+    """Return the name of a run: its nonce, or without one its request id and attempt."""
     return RunId(nonce or f"{request_id}/{attempt}")
--- a/src/lacewinggw/decisions/claims.py
+++ b/src/lacewinggw/decisions/claims.py
@@ -1,8 +1,8 @@
-"""Claims: who may run a request with an idempotency key, as a row under compare-and-set.
+"""Claims: rows, written by compare-and-set, that make an idempotency key run once.
 
-The row names a reservation. Whoever has the key goes to the agent that gave it: the same run for
-all. Only when that agent has proved that the reservation will never start may another claim take
-the row's place.
+A row names a reservation. Every request with the key goes to the agent that issued the reservation,
+so all share one run. Another claim may replace the row only after that agent has proved that the
+reservation will never start.
 """
 
 import hashlib
@@ -24,15 +24,15 @@
 
 
 class ClaimState(Enum):
-    """What a claim says of its request."""
+    """The state of a claim."""
 
-    HELD = "held"  # its reservation was or will be used, or has lapsed
-    RELEASED = "released"  # proved not to have run, and never to
+    HELD = "held"  # its reservation was or will be used, or has expired
+    RELEASED = "released"  # proved that the request has not run and never will
 
 
 @dataclass(frozen=True)
 class Claim:
-    """The value of one claim row; `request_digest` tells a key used for another content."""
+    """The value of a claim row; `request_digest` detects reuse of the key for other content."""
 
     request_digest: str
     address: str
@@ -41,40 +41,40 @@
     state: ClaimState = ClaimState.HELD
 
     def to_text(self) -> str:
-        """Return the claim as the value of a row."""
+        """Return the claim as the text of a row."""
         return json.dumps({**asdict(self), "state": self.state.value}, separators=(",", ":"))
 
     @classmethod
     def from_text(cls, text: str) -> "Claim":
-        """Return the claim in a row; raise `ValueError`, `KeyError` or `TypeError`."""
+        """Parse the text of a row; raise `ValueError`, `KeyError` or `TypeError` if malformed."""
         fields: dict[str, Any] = json.loads(text)
         return cls(**{**fields, "state": ClaimState(fields["state"])})
 
 
 @dataclass(frozen=True)
 class Join:
-    """Use the reservation that the claim names: start it, or listen to what it started.
+    """Use the reservation that the claim names: start its run, or follow the one that started.
 
-    Its answer may also be recorded already, under `answer_key` in the object store.
+    The answer may already be recorded in the object store, under `answer_key`.
     """
 
 
 @dataclass(frozen=True)
 class Replace:
-    """Put another claim in its place by compare-and-set."""
+    """Replace the claim by another one with compare-and-set."""
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """Tell the caller."""
+    """Return the error to the caller."""
 
     error: LacewingError
 
 
 def claim_key(account: str, service: str, key: str) -> str:
-    """Return the row's key; keys of different accounts and services never meet."""
-    named = "\0".join((account, service, key))
-    return CLAIM_PREFIX + hashlib.sha256(named.encode()).hexdigest()
+    """Return the key of a claim row; it differs between accounts and between services."""
+    text_key = "\0".join((account, service, key))
+    return CLAIM_PREFIX + hashlib.sha256(text_key.encode()).hexdigest()
 
 
 def answer_key(row_key: str) -> str:
@@ -83,7 +83,7 @@
 
 
 def resolve(claim: Claim, request_digest: str) -> Join | Replace | Refuse:
-    """Return what a request with the key does about the claim that it met."""
+    """Return what a request does about an existing claim for its key."""
     if claim.request_digest != request_digest:
         return Refuse(KeyReused("the key was used before for a request with another content"))
     match claim.state:
@@ -94,10 +94,10 @@
 
 
 def never_starts(error: LacewingError) -> bool:
-    """Return whether this refusal proves by itself that the reservation can never start."""
+    """Return whether a refusal proves by itself that the reservation can never start."""
     return isinstance(error, Withdrawn | TicketExpired)
 
 
 def needs_withdrawal(error: LacewingError) -> bool:
-    """Return whether the reservation did not start, but still might."""
+    """Return whether the reservation has not started but still might."""
     return error.outcome is Outcome.NOT_RUN and not never_starts(error)
--- a/src/lacewinggw/decisions/deadlines.py
+++ b/src/lacewinggw/decisions/deadlines.py
@@ -1,7 +1,7 @@
-"""Deadlines: time left travels with a request, never a clock reading.
+"""Deadlines: a request carries its time left, never a clock reading.
 
-Each process turns the time left into a moment by its own clock, and tells the next one what is
-left then, less an allowance for the way back.
+Each process converts the time left to a deadline by its own clock, and passes on what is left then,
+less an allowance for the way back.
 """
 
 HOP_ALLOWANCE_S = 0.005
@@ -10,13 +10,16 @@
 
 
 def deadline_at(time_left_ms: int, default_ms: int, now: float) -> float:
-    """Return the moment by which a request must be answered; `usual_ms` when it names no time."""
+    """Return the deadline of a request in seconds of the clock of `now`.
+
+    `default_ms` applies to a request that carries no time left.
+    """
     left_s = (time_left_ms if time_left_ms > 0 else default_ms) / MS_PER_S
     return now + min(left_s, MAX_TIME_LEFT_S)
 
 
 def time_left_ms(deadline: float, now: float, allowance_s: float = HOP_ALLOWANCE_S) -> int:
-    """Return the time left to pass on, in milliseconds; 0 or less when there is none."""
+    """Return the time left to pass on, in milliseconds; 0 or less after the deadline."""
     return int((deadline - now - allowance_s) * MS_PER_S)
 
 
@@ -26,5 +29,5 @@
 
 
 def can_finish(deadline: float, now: float, wait_s: float, run_s: float) -> bool:
-    """Return whether a request that waits and then runs this long ends before its deadline."""
+    """Return whether a request that waits `wait_s` and runs `run_s` ends before its deadline."""
     return now + wait_s + run_s <= deadline
--- a/src/lacewinggw/decisions/dispatch.py
+++ b/src/lacewinggw/decisions/dispatch.py
@@ -1,8 +1,9 @@
-"""Which target of a service takes a request, and whether any can start it soon.
+"""Choice of the target of a service that takes a request, if one can start it soon.
 
-What is ahead of a request at a target is this entry's own calls there, known exactly, and those of
-other entries by the target's last report, discounted by its age. A target takes requests up to its
-slots; what is beyond waits here, where it can still go to whichever target is free first.
+The requests ahead of one more at a target are this entry's own calls, whose number is exact, and
+those of other entries by the target's last report, discounted by its age. A target is sent requests
+up to its slots. Further requests wait at the entry, where each can still go to the first target
+that becomes free.
 """
 
 import math
@@ -15,30 +16,32 @@
 from lacewinggw.decisions.targetload import InFlightRequest, TargetLoad
 from lacewinggw.ids import ModelName, Place, RequestDigest, ServiceName, TargetId
 
-# A target in another place counts as that much fuller. Borders are narrow and priced. And the fewer
-# entries choose among the same targets by the same updates, the fewer meet at one.
+# Share of the slots by which a target in another place counts as fuller. Links between places are
+# narrow and billed. Also, the fewer entries choose among the same targets by the same reports, the
+# fewer choose the same target at once.
 REMOTE_COST = 0.6
-LOADING_TIMEOUT_S = (
-    2.5  # a target that began to load and is not heard of again is tried after so long
-)
-TIMEOUT_PAUSE_S = 1.0  # a target that fell silent gets nothing more for so long: what is sent waits
-# Connecting takes a way and back over the link of a target, the first part of the answer another:
-# with 0.1 s each, half of the usual objective is gone. That counts as much as 0.8 of the slots.
+# A target that reported loading and sends no further report is tried again after this time.
+LOADING_TIMEOUT_S = 2.5
+TIMEOUT_PAUSE_S = 1.0  # no requests to a target that did not answer in time: they would wait there
+# Connecting takes one round trip over the target's link, and the first part of the answer another:
+# with 0.1 s each, half of the typical objective is used up. A delay of 0.1 s therefore counts as
+# much as 0.8 of the slots.
 LINK_COST_PER_S = 8.0
-# An engine reads prompts between the tokens of the others, so what it has yet to read delays the
-# first event of the next request, while requests that are being answered hardly do: 0.1 s of
-# reading counts as much as 0.8 of the slots.
+# An engine interleaves prefill with the tokens of running requests, so pending prefill delays the
+# first event of the next request, while requests in decode hardly do. 0.1 s of prefill counts as
+# much as 0.8 of the slots.
 PREFILL_COST_PER_S = 8.0
-MAX_UNLISTED = 1000  # targets that are off the list, of which what is known is kept
+MAX_UNLISTED = 1000  # targets that left the list and whose state is kept
 
 
 @dataclass(frozen=True)
 class TargetRequirements:
-    """What a request needs of a target.
+    """What a request requires of a target.
 
-    `least_version` is the oldest version of `model` that may still be begun on, `only_version` the
-    one that an answer has begun with; `avoid` are the targets that have had the request already.
-    Reading its prompt takes a target `reading_s` seconds. A `suspect` may end the target.
+    `min_version` is the oldest version of `model` on which a request may still start;
+    `exact_version` is the version with which its answer has already begun. `excluded` holds the
+    targets that were sent the request before. Its prefill takes a target `prefill_s` seconds.
+    `suspect` is set for a request that may crash targets.
     """
 
     service: ServiceName
@@ -52,9 +55,10 @@
 
 @dataclass(frozen=True)
 class SampleSizes:
-    """How many targets are drawn at random, of this place and of others; the best of them is taken.
+    """How many targets of this place and of others are sampled; the best of them is chosen.
 
-    Other entries choose at the same moment by the same updates: all would take the least busy one.
+    Entries choose concurrently by the same reports: without sampling, all would choose the least
+    busy target.
     """
 
     near: int = 2
@@ -62,17 +66,17 @@
 
 
 class TargetPool:
-    """The targets of all services, with their work as this entry knows it.
+    """The targets of all services, with this entry's view of their load.
 
-    `leaving` is the set of those that take no new work, kept up to date by its owner.
-    `connections_of` tells how many connections this entry may have to each target of a service.
+    `leaving` is the set of targets that take no new work; its owner keeps it up to date.
+    `connections_of` returns how many connections this entry may have to each target of a service.
 
     pool.sync(knowledge.targets)
-    load = pool.choose(Wish(service), now)
-    claim = pool.begin(load, now)
-    pool.note_read(claim)
-    pool.succeeded(load)
-    pool.end(claim)
+    load = pool.choose(pool.eligible(TargetRequirements(service)), now)
+    request = pool.begin(load, now)
+    pool.note_prompt_read(request)
+    pool.note_success(load)
+    pool.end(request)
     """
 
     def __init__(
@@ -80,12 +84,12 @@
         place: Place,
         rules: EjectionRules,
         rng: random.Random,
-        draw: SampleSizes | None = None,
+        sample_sizes: SampleSizes | None = None,
         leaving: Set[TargetId] = frozenset(),
         connections_of: Callable[[ServiceName], float] = lambda service: math.inf,
     ) -> None:
         self._place = place
-        self._draw = draw or SampleSizes()
+        self._sample_sizes = sample_sizes or SampleSizes()
         self._rules = rules
         self._rng = rng
         self._leaving = leaving
@@ -95,13 +99,14 @@
 
     @property
     def loads(self) -> Mapping[TargetId, TargetLoad]:
-        """Every target, by its id."""
+        """The load of every listed target, by target id."""
         return self._loads
 
     def sync(self, entries: Mapping[TargetId, TargetEntry]) -> None:
-        """Take the list of targets; what is known of each start is kept, also while it is off it.
+        """Replace the list of targets; the state of each is kept, also while it is not listed.
 
-        A row can lapse while the store is away; what its target asked for still holds.
+        A row can expire while the store is unavailable, and a back-off that its target asked for
+        still applies.
         """
         for target in self._loads.keys() - entries.keys():
             self._unlisted[target] = self._loads.pop(target)
@@ -112,18 +117,20 @@
         while len(self._unlisted) > MAX_UNLISTED:
             del self._unlisted[next(iter(self._unlisted))]
 
-    def eligible(self, wish: TargetRequirements) -> list[TargetLoad]:
-        """Return the targets that may run a request, however busy they are."""
+    def eligible(self, requirements: TargetRequirements) -> list[TargetLoad]:
+        """Return the targets that meet the requirements, however busy they are."""
         return [
-            load for load in self._loads.values() if self._fits(load, wish) and self._stays(load)
+            load
+            for load in self._loads.values()
+            if self._meets(load, requirements) and self._is_usable(load)
         ]
 
     def may_begin(self, load: TargetLoad, now: float) -> bool:
-        """Return whether one more request of this entry may begin at a target, if it has room.
+        """Return whether one more request of this entry may begin at a target with a free slot.
 
-        The target is there and stays, the back-off that it asked for is over, and its limits on the
-        rate and on connections allow one more. All that may have changed while a request waited in
-        line, so it is asked again then.
+        The target is listed and not leaving, the back-off that it asked for is over, and its limits
+        on the rate and on connections allow one more. Any of this may change while a request is
+        queued, so check again after a wait.
         """
         if not (self.may_send(load, now) and load.is_allowed(now)):
             return False
@@ -132,24 +139,25 @@
     def may_send(self, load: TargetLoad, now: float) -> bool:
         """Return whether a request that has begun may still be sent to a target.
 
-        While a connection was opened for it the target may have said that it takes nothing.
+        The target may have left or asked for a back-off while the connection was opened.
         """
-        return self._stays(load) and load.backoff.is_over(now)
+        return self._is_usable(load) and load.backoff.is_over(now)
 
-    def _stays(self, load: TargetLoad) -> bool:
+    def _is_usable(self, load: TargetLoad) -> bool:
         target = load.entry.target
         return target not in self._leaving and self._loads.get(target) is load
 
     def choose(
-        self, fitting: Iterable[TargetLoad], now: float, is_late: bool = False
+        self, eligible: Iterable[TargetLoad], now: float, is_late: bool = False
     ) -> TargetLoad | None:
-        """Return the one of `fitting` targets in which a request starts soonest, or None.
+        """Return the eligible target on which a request starts soonest, or None.
 
-        One that `is_late` starts only where there is room left over.
+        A request that `is_late` takes only slots beyond those kept for requests that can be on
+        time.
         """
-        fitting = list(fitting)
-        # If none can be reached, the cause is this entry's: then all are as good as before.
-        reachable = [load for load in fitting if load.is_reachable(now)] or fitting
+        eligible = list(eligible)
+        # If no target is reachable, the cause is on this entry's side, so reachability is ignored.
+        reachable = [load for load in eligible if load.is_reachable(now)] or eligible
         usable = [
             load
             for load in reachable
@@ -157,33 +165,33 @@
         ]
         healthy = [load for load in usable if load.health.may_call(now)]
         if not healthy:
-            # All are failing, so the cause may not be theirs: any is better than none.
+            # If all are failing, the cause may be elsewhere: any target is better than none.
             healthy = usable
         candidates = self._candidates(healthy, now)
         return min(candidates, key=lambda load: self._cost(load, now), default=None)
 
     def choose_for_slot(
-        self, fitting: Iterable[TargetLoad], now: float, asked: Set[TargetId]
+        self, eligible: Iterable[TargetLoad], now: float, asked: Set[TargetId]
     ) -> TargetLoad | None:
-        """Return the one of `fitting` targets whose agent is asked for a slot next, or None.
+        """Return the eligible target whose agent to ask for a slot next, or None.
 
-        However busy it is by the updates: the agent knows better, and keeps a line.
+        The reported load does not exclude a target: its agent has the exact count and a queue.
         """
-        open_ = [
+        open_targets = [
             load
-            for load in fitting
+            for load in eligible
             if load.entry.target not in asked
             and load.may_ask_agent(now)
             and load.takes_requests(now)
             and load.is_reachable(now)
             and self.may_begin(load, now)
         ]
-        healthy = [load for load in open_ if load.health.may_call(now)] or open_
+        healthy = [load for load in open_targets if load.health.may_call(now)] or open_targets
         candidates = self._candidates(healthy, now)
         return min(candidates, key=lambda load: self._cost(load, now), default=None)
 
     def reachability_changes(self, now: float) -> list[TargetLoad]:
-        """Return the targets that can be reached by now and could not, or the other way round."""
+        """Return the targets whose reachability changed since the last call."""
         changed = [
             load for load in self._loads.values() if load.is_reachable(now) != load.was_reachable
         ]
@@ -192,7 +200,7 @@
         return changed
 
     def begin(self, load: TargetLoad, now: float, prefill_s: float = 0.0) -> InFlightRequest:
-        """Note that a request goes to a target, which reads its prompt in `reading_s` seconds."""
+        """Count a request as sent to a target, where its prefill takes `prefill_s` seconds."""
         if load.in_flight == 0:
             load.busy_since = now
         load.in_flight += 1
@@ -204,23 +212,23 @@
         return InFlightRequest(load, prefill_s, load.backoff.begin_trial())
 
     def note_prompt_read(self, claim: InFlightRequest) -> None:
-        """Note that a request's prompt is read, or will not be."""
+        """Note that the prefill of a request is over, or will not take place."""
         claim.load.prefill_s -= claim.prefill_s
         claim.prefill_s = 0.0
 
     def end(self, claim: InFlightRequest) -> None:
-        """Note that a request is over, however it ended."""
+        """Note that a request has ended, whatever its outcome."""
         self.note_prompt_read(claim)
         claim.load.in_flight -= 1
         if claim.is_trial:
             claim.load.backoff.end_trial()
 
     def note_backoff(self, load: TargetLoad, retry_after_s: float, now: float) -> None:
-        """Note that a target asked this entry to back off for some seconds."""
+        """Note that a target asked this entry to back off for `retry_after_s` seconds."""
         load.backoff.note_requested(retry_after_s, now, self._rng.random())
 
     def note_accepted(self, load: TargetLoad, sent_at: float) -> None:
-        """Note that a target took a request that was sent at a moment, however it ended."""
+        """Note that a target accepted a request sent at `sent_at`, whatever its outcome."""
         load.refusals.note_accepted()
         load.backoff.note_accepted(sent_at, load.entry.slots)
 
@@ -229,18 +237,20 @@
         load.health.note_success()
 
     def note_failure(self, load: TargetLoad, now: float) -> bool:
-        """Note that a target failed a request; return whether it is left out by it."""
-        same = [each for each in self._loads.values() if each.entry.service == load.entry.service]
-        out_now = sum(each.health.ejected_until is not None for each in same)
-        return note_failed_call(load.health, now, out_now, len(same), self._rules)
+        """Note that a target failed a request; return whether this ejects it."""
+        same_service = [
+            each for each in self._loads.values() if each.entry.service == load.entry.service
+        ]
+        ejected_now = sum(each.health.ejected_until is not None for each in same_service)
+        return note_failed_call(load.health, now, ejected_now, len(same_service), self._rules)
 
     def note_full(self, load: TargetLoad, sent_at: float, now: float) -> None:
-        """Note that a target refused a request, sent at a moment, because it is full."""
+        """Note that a target refused a request sent at `sent_at` because it is full."""
         load.full_until = max(load.full_until, now + load.refusals.note_refused(sent_at, now))
         load.health.note_inconclusive()
 
     def note_timeout(self, load: TargetLoad, now: float) -> None:
-        """Note that a target did not answer in time: it, or the link to it, is stuck."""
+        """Note that a target did not answer in time: it, or the link to it, is stalled."""
         load.full_until = max(load.full_until, now + TIMEOUT_PAUSE_S)
 
     def note_report(
@@ -251,39 +261,40 @@
         loading: bool = False,
         sent_s: float | None = None,
     ) -> None:
-        """Take what a target said of its own work: requests running and queued.
+        """Take a target's report of its running and queued requests, received at `at`.
 
-        One that is `loading` begins nothing until it says so again. `sent_s` is when it said so, by
-        its own clock.
+        A target that is `loading` begins nothing until it reports again. `sent_s` is when the
+        report was sent, by the sender's clock.
         """
         load = self._loads.get(target)
         if load is None or at < load.reported_at:
             return
         if sent_s is not None:
-            load.update_delay.note(sent_s, at)
+            load.update_delay.note_message(sent_s, at)
         load.loading_until = at + LOADING_TIMEOUT_S if loading else 0.0
         load.reported = running
         load.reported_own = load.in_flight
         load.reported_at = at
 
-    def _fits(self, load: TargetLoad, wish: TargetRequirements) -> bool:
+    def _meets(self, load: TargetLoad, requirements: TargetRequirements) -> bool:
         entry = load.entry
-        if entry.service != wish.service or entry.target in wish.excluded:
+        if entry.service != requirements.service or entry.target in requirements.excluded:
             return False
-        if wish.model is None:
+        if requirements.model is None:
             return True
-        held = entry.weights.get(wish.model, -1)
-        if wish.exact_version is not None and held != wish.exact_version:
+        held_version = entry.weights.get(requirements.model, -1)
+        if requirements.exact_version is not None and held_version != requirements.exact_version:
             return False
-        return held >= wish.min_version
+        return held_version >= requirements.min_version
 
     def _candidates(self, loads: Sequence[TargetLoad], now: float) -> list[TargetLoad]:
         near = [load for load in loads if load.entry.place == self._place]
         far = [load for load in loads if load.entry.place != self._place]
-        # Of another place only those are taken whose agents are heard, if there are any: nothing
-        # is known of the others' work.
+        # Of other places, prefer targets with recent reports: the load of the others is unknown.
         far = [load for load in far if load.has_fresh_report(now)] or far
-        return self._sample(near, self._draw.near) + self._sample(far, self._draw.far)
+        return self._sample(near, self._sample_sizes.near) + self._sample(
+            far, self._sample_sizes.far
+        )
 
     def _sample(self, loads: list[TargetLoad], count: int) -> list[TargetLoad]:
         return loads if len(loads) <= count else self._rng.sample(loads, count)
@@ -291,5 +302,5 @@
     def _cost(self, load: TargetLoad, now: float) -> tuple[float, float]:
         remote = 0.0 if load.entry.place == self._place else REMOTE_COST
         link = LINK_COST_PER_S * load.link_delay(now)
-        reading = PREFILL_COST_PER_S * load.prefill_s
-        return (load.occupancy(now) + remote + link + reading, self._rng.random())
+        prefill = PREFILL_COST_PER_S * load.prefill_s
+        return (load.occupancy(now) + remote + link + prefill, self._rng.random())
--- a/src/lacewinggw/decisions/ejection.py
+++ b/src/lacewinggw/decisions/ejection.py
@@ -1,30 +1,31 @@
-"""Taking failing targets out of use for a while, and letting them back with care.
+"""Outlier ejection: failing targets are taken out of use for a while and return by a trial call.
 
-A target goes out after some failures in a row, or when more than half of its recent calls failed.
-It comes back by one trial call; a failed trial keeps it out twice as long. No more than a declared
-share of a service's targets is out at once: when most fail, the cause is not the targets.
+A target is ejected after several consecutive failures, or when more than half of its recent calls
+failed. It returns by one successful trial call; a failed trial ejects it for twice as long. At most
+a declared share of a service's targets is ejected at once: when most fail, the cause is not the
+targets.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-FAILURE_DECAY = 0.9  # weight of the past in the failing share, per call
+FAILURE_DECAY = 0.9  # weight of earlier calls in the failing share, per call
 FAILING_SHARE = 0.5
 MIN_CALLS = 20  # calls before the share says anything
 MAX_EJECTION_FACTOR = 16
 
 
 class EjectionState(Enum):
-    """Whether a target may be offered requests."""
+    """Whether a target may be sent requests."""
 
     ACTIVE = "in"
     EJECTED = "out"
-    ON_TRIAL = "on-trial"  # its time out is over: one call at a time
+    ON_TRIAL = "on-trial"  # its ejection time is over: one call at a time
 
 
 @dataclass(frozen=True)
 class EjectionRules:
-    """When targets go out and for how long; times in seconds, the limit as a share."""
+    """When targets are ejected and for how long, in seconds; `max_ejected_share` per service."""
 
     after_failures: int = 5
     ejection_s: float = 5.0
@@ -33,7 +34,7 @@
 
 @dataclass
 class TargetHealth:
-    """How the calls to one target went."""
+    """The outcomes of recent calls to one target, and its ejection."""
 
     consecutive_failures: int = 0
     failing_share: float = 0.0
@@ -43,13 +44,13 @@
     trial_running: bool = field(default=False)
 
     def state(self, now: float) -> EjectionState:
-        """Return whether the target may be offered requests at `now`."""
+        """Return whether the target is active, ejected or on trial at `now`."""
         if self.ejected_until is None:
             return EjectionState.ACTIVE
         return EjectionState.EJECTED if now < self.ejected_until else EjectionState.ON_TRIAL
 
     def may_call(self, now: float) -> bool:
-        """Return whether one more call may go to the target."""
+        """Return whether one more call may be sent to the target."""
         match self.state(now):
             case EjectionState.ACTIVE:
                 return True
@@ -59,12 +60,12 @@
                 return not self.trial_running
 
     def note_begin(self, now: float) -> None:
-        """Note that a call goes to the target."""
+        """Note that a call is sent to the target."""
         if self.state(now) is EjectionState.ON_TRIAL:
             self.trial_running = True
 
     def note_success(self) -> bool:
-        """Note a call that went well; return whether the target came back by it."""
+        """Note a successful call; return whether it ends an ejection."""
         came_back = self.ejected_until is not None
         self.consecutive_failures = 0
         self.failing_share *= FAILURE_DECAY
@@ -79,38 +80,38 @@
         return came_back
 
     def note_failure(self) -> None:
-        """Note a call that the target or the way to it failed."""
+        """Note a call that failed at the target or on the way to it."""
         self.consecutive_failures += 1
         self.failing_share = self.failing_share * FAILURE_DECAY + (1 - FAILURE_DECAY)
         self.calls += 1
 
     def note_inconclusive(self) -> None:
-        """Note the end of a call that says nothing of the target."""
+        """Note the end of a call that shows nothing about the target's health."""
         self.trial_running = False
 
     def is_failing(self, rules: EjectionRules) -> bool:
-        """Return whether the target has failed enough to go out."""
+        """Return whether the target has failed often enough to be ejected."""
         if self.consecutive_failures >= rules.after_failures:
             return True
         return self.calls >= MIN_CALLS and self.failing_share > FAILING_SHARE
 
     def eject(self, now: float, rules: EjectionRules) -> None:
-        """Take the target out, for longer each time."""
+        """Eject the target, for twice as long each time up to `MAX_EJECTION_FACTOR`."""
         factor = min(MAX_EJECTION_FACTOR, 1 << self.ejections)
         self.ejections += 1
         self.ejected_until = now + rules.ejection_s * factor
         self.trial_running = False
 
 
-def may_eject(out_now: int, targets: int, rules: EjectionRules) -> bool:
-    """Return whether one more of `targets` may go out when `out_now` are out already."""
-    return out_now + 1 <= targets * rules.max_ejected_share
+def may_eject(ejected_now: int, targets: int, rules: EjectionRules) -> bool:
+    """Return whether one more of `targets` may be ejected when `ejected_now` are already."""
+    return ejected_now + 1 <= targets * rules.max_ejected_share
 
 
 def note_failed_call(
-    health: TargetHealth, now: float, out_now: int, targets: int, rules: EjectionRules
+    health: TargetHealth, now: float, ejected_now: int, targets: int, rules: EjectionRules
 ) -> bool:
-    """Note a call that failed; return whether the target goes out by it."""
+    """Note a failed call; return whether it ejects the target."""
     on_trial = health.state(now) is EjectionState.ON_TRIAL
     health.note_failure()
     if on_trial:
@@ -118,7 +119,7 @@
         return True
     if health.ejected_until is not None or not health.is_failing(rules):
         return False
-    if not may_eject(out_now, targets, rules):
+    if not may_eject(ejected_now, targets, rules):
         return False
     health.eject(now, rules)
     return True
--- a/src/lacewinggw/decisions/fairness.py
+++ b/src/lacewinggw/decisions/fairness.py
@@ -1,10 +1,10 @@
-"""A bounded queue: by priority, then weighted fair share between client accounts.
+"""A bounded queue, ordered by priority and then by weighted fair share between client accounts.
 
-Between priorities the higher goes first, but after some of them in a row one lower gets its turn,
-so that nothing waits for ever. Within a priority, accounts share by weight (start-time fair
-queueing): one that offers ten times as much gets no more than its share while others wait. When
-the queue is full, the newest request of the account that is furthest over its share goes, so that
-no account can fill the queue against the others.
+Higher priorities go first, but after several of them in a row one lower request is served, so that
+none starves. Within a priority, accounts share by weight (start-time fair queueing): an account
+that offers ten times as much gets no more than its share while others wait. When the queue is full,
+the newest request of the account furthest over its share is evicted, so that no account can crowd
+out the others.
 """
 
 import itertools
@@ -16,7 +16,7 @@
 from lacewinggw.generated.messages.ttypes import Priority
 from lacewinggw.ids import Account
 
-MAX_HIGHER_IN_ROW = 9  # turns of higher priorities in a row while a lower one waits
+MAX_HIGHER_IN_ROW = 9  # requests of higher priority served in a row while a lower one waits
 
 Payload = TypeVar("Payload")
 
@@ -25,7 +25,7 @@
 class QueueItem(Generic[Payload]):
     """One waiting request. Times in seconds, by the process's own clock."""
 
-    payload: Payload | None  # none for one that is only weighed
+    payload: Payload | None  # None for an item that is only checked for admission
     account: Account
     priority: Priority
     weight: float
@@ -34,8 +34,8 @@
     finish_tag: float = 0.0
 
     def require_payload(self) -> Payload:
-        """Return the payload of an item that was queued."""
-        assert self.payload is not None, "only weighed, never queued"
+        """Return the payload of a queued item."""
+        assert self.payload is not None, "only checked for admission, never queued"
         return self.payload
 
 
@@ -91,21 +91,21 @@
         return item
 
     def most_over_share(self, extra: QueueItem[Payload] | None = None) -> Account:
-        """Return the account with the most waiting for its weight, `extra` counted in."""
-        overrun = {
+        """Return the account with the most waiting requests by weight, `extra` included."""
+        overshoot = {
             account: len(waiting) / waiting[0].weight
             for account, waiting in self.by_account.items()
         }
         if extra is not None:
-            overrun[extra.account] = overrun.get(extra.account, 0.0) + 1.0 / extra.weight
-        return max(overrun, key=lambda account: (overrun[account], account))
+            overshoot[extra.account] = overshoot.get(extra.account, 0.0) + 1.0 / extra.weight
+        return max(overshoot, key=lambda account: (overshoot[account], account))
 
 
 class FairQueue(Generic[Payload]):
-    """The queue; it holds at most `limit` requests.
+    """A queue of at most `limit` requests.
 
     queue = FairQueue(64)
-    evicted = queue.push(item)  # the item itself when there is no room for it
+    evicted = queue.push(item)  # the item itself if it does not fit
     item = queue.pop()
     """
 
@@ -117,11 +117,11 @@
         return sum(lane.length for lane in self._lanes.values())
 
     def length_of(self, priority: Priority) -> int:
-        """Return how many requests of a priority wait."""
+        """Return how many requests of a priority are queued."""
         return self._lanes[priority].length
 
     def push(self, item: QueueItem[Payload]) -> QueueItem[Payload] | None:
-        """Add a request; return the one that must go for it, which may be itself, if any."""
+        """Add a request; return the evicted one, which may be the same, or None."""
         self._lanes[item.priority].append(item)
         if len(self) <= self.limit:
             return None
@@ -130,7 +130,7 @@
         return lane.evict_newest(lane.most_over_share())
 
     def pop(self, least: Priority = Priority.BULK) -> QueueItem[Payload] | None:
-        """Take the next request whose priority is `least` or higher, or none."""
+        """Remove and return the next request of priority `least` or higher, or None."""
         waiting = [each for each in Priority if each <= least and self._lanes[each].length]
         if not waiting:
             return None
@@ -144,18 +144,18 @@
         return self._lanes[chosen].pop()
 
     def remove(self, item: QueueItem[Payload]) -> None:
-        """Take out a request that waits no more."""
+        """Remove a request that no longer waits."""
         self._lanes[item.priority].remove(item)
 
     def count_ahead(self, item: QueueItem[Payload]) -> int:
-        """Return how many waiting requests an item would come after."""
+        """Return how many queued requests would be served before an item."""
         lane = self._lanes[item.priority]
         tag = lane.next_tag(item)
         same = sum(each.finish_tag <= tag for each in _items(lane))
         return same + sum(self._lanes[each].length for each in Priority if each < item.priority)
 
     def would_accept(self, item: QueueItem[Payload]) -> bool:
-        """Return whether an item would stay in the queue if it were pushed now."""
+        """Return whether an item would stay in the queue if pushed now."""
         if len(self) < self.limit:
             return True
         lowest = max(priority for priority, lane in self._lanes.items() if lane.length)
@@ -164,7 +164,7 @@
         return self._lanes[lowest].most_over_share(item) != item.account
 
     def remove_expired(self, now: float) -> list[QueueItem[Payload]]:
-        """Take out and return the requests whose deadline has passed."""
+        """Remove and return the requests whose deadline has passed."""
         late = [item for item in self if item.deadline <= now]
         for item in late:
             self.remove(item)
--- a/src/lacewinggw/decisions/limits.py
+++ b/src/lacewinggw/decisions/limits.py
@@ -1,9 +1,9 @@
 """Limits of client accounts, split over the entries that an account uses.
 
-Each entry knows its own demand for an account and hears that of the account's other entries a few
-times a second. From the same numbers all work out the same split: each entry gets what it asks for
-as far as that is fair (max-min), and what nobody asks for is shared evenly, so that the shares
-always add up to the limit. An entry that falls silent loses its share to the others.
+Each entry measures its own demand for an account and receives that of the account's other entries a
+few times a second. From the same numbers all compute the same split: each entry gets its demand as
+far as that is max-min fair, and the rest is shared evenly, so that the shares always add up to the
+limit. An entry that stops reporting loses its share to the others.
 """
 
 import math
@@ -13,16 +13,16 @@
 from lacewinggw.ids import Account, HostId
 
 RATE_DECAY_S = 1.0
-MAX_MEAN_GAPS = 8.0  # mean gaps between events: a longer one means that the rate has fallen
-BURST_S = 1.0  # an idle account may save up so much of its rate
+MAX_MEAN_GAPS = 8.0  # a gap longer than this many mean gaps shows that the rate has fallen
+BURST_S = 1.0  # an idle account accumulates this many seconds of its rate
 MIN_BURST = 2.0
-MIN_SHARE = 0.02  # of an even share: the least that an entry keeps
+MIN_SHARE = 0.02  # of an even share: every entry keeps at least this
 MAX_RETRY_AFTER_S = 10.0
 
 
 @dataclass(frozen=True)
 class AccountDeclaration:
-    """An account as declared: its token, requests a second, requests at once, and weight."""
+    """A declared account: its token, requests a second, concurrent requests, and weight."""
 
     account: Account
     token: str
@@ -32,10 +32,10 @@
 
     @classmethod
     def parse(cls, text: str) -> "AccountDeclaration":
-        """Read "account:token:requests-per-second:concurrency[:weight]"; raise `ValueError`.
+        """Parse "account:token:requests-per-second:concurrency[:weight]"; raise `ValueError`.
 
         AccountDeclaration.parse("buyers:secret:50:20") is limited to 50 requests a second and 20
-        at once, with a weight of 1.
+        concurrent ones, with a weight of 1.
         """
         parts = text.split(":")
         if len(parts) not in (4, 5):
@@ -54,8 +54,8 @@
 class SmoothedRate:
     """A smoothed rate of events, per second.
 
-    It falls at once when events stop: after a gap that the smoothed rate would hardly ever leave,
-    it is the rate that leaves such a gap.
+    The rate falls at once when events stop: after a gap that is very unlikely at the smoothed rate,
+    the rate is one event per such gap.
     """
 
     memory_s: float = RATE_DECAY_S
@@ -69,7 +69,7 @@
         self._at = now
 
     def idle_s(self, now: float) -> float:
-        """Return for how long no event was counted, in seconds."""
+        """Return the time since the last event in seconds, infinite without any."""
         return math.inf if self._at is None else now - self._at
 
     def rate(self, now: float) -> float:
@@ -82,29 +82,29 @@
 
 
 def split_limit(total: float, demands: Mapping[HostId, float]) -> dict[HostId, float]:
-    """Split `total` over entries by demand, max-min fair; the shares add up to `total`.
+    """Return a max-min fair split of `total` over entries by demand; it adds up to `total`.
 
     split_limit(10, {"a": 2, "b": 20}) is {"a": 2, "b": 8}
     """
     if not demands:
         return {}
-    least = MIN_SHARE * total / len(demands)
+    min_share = MIN_SHARE * total / len(demands)
     shares: dict[HostId, float] = {}
-    left = total
+    remaining = total
     by_demand = sorted(demands, key=lambda host: (demands[host], host))
     for index, host in enumerate(by_demand):
-        fair = left / (len(by_demand) - index)
-        shares[host] = min(max(demands[host], least), fair)
-        left -= shares[host]
-    extra = left / len(shares)
+        fair = remaining / (len(by_demand) - index)
+        shares[host] = min(max(demands[host], min_share), fair)
+        remaining -= shares[host]
+    extra = remaining / len(shares)
     return {host: share + extra for host, share in shares.items()}
 
 
 @dataclass
 class TokenBucket:
-    """Tokens at a rate that may change, saved up to a burst.
+    """A token bucket whose rate may change.
 
-    `reserve` tokens are kept back from requests that are not urgent.
+    `promised` tokens are expected by refused requests that were sent a time to retry.
     """
 
     rate: float
@@ -114,7 +114,7 @@
 
     @property
     def burst(self) -> float:
-        """The most tokens that are saved up."""
+        """The most tokens that accumulate."""
         return max(MIN_BURST, self.rate * BURST_S)
 
     def refill(self, now: float) -> None:
@@ -125,13 +125,16 @@
         self.at = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate from now on."""
+        """Set the rate from `now` on."""
         self.refill(now)
         self.rate = rate
         self.tokens = min(self.tokens, self.burst)
 
     def take(self, now: float, reserve: float) -> bool:
-        """Take a token if that leaves the reserve."""
+        """Take a token if `reserve` tokens remain after it; return whether it was taken.
+
+        The reserve keeps tokens for urgent requests.
+        """
         self.refill(now)
         if self.tokens - 1.0 < reserve:
             return False
@@ -139,15 +142,15 @@
         return True
 
     def retry_after_s(self) -> float:
-        """Return when a refused request may come back; each refusal is told a later moment."""
+        """Return when a refused request may be retried, in seconds; later for each refusal."""
         self.promised += 1.0
-        lack = self.promised - max(0.0, self.tokens - 1.0)
-        return min(MAX_RETRY_AFTER_S, max(lack, 1.0) / max(self.rate, 1.0 / MAX_RETRY_AFTER_S))
+        missing = self.promised - max(0.0, self.tokens - 1.0)
+        return min(MAX_RETRY_AFTER_S, max(missing, 1.0) / max(self.rate, 1.0 / MAX_RETRY_AFTER_S))
 
 
 @dataclass(frozen=True)
 class DemandReport:
-    """What one entry said of an account, and when it was heard."""
+    """One entry's report of its demand for an account, and when it was received."""
 
     offered_per_s: float
     running: int
@@ -156,7 +159,7 @@
 
 @dataclass
 class AccountShare:
-    """One account at one entry: its share of the limit, and what it uses of it."""
+    """One account at one entry: its share of the limit, and its use."""
 
     declared: AccountDeclaration
     bucket: TokenBucket
@@ -177,9 +180,9 @@
         return cls(declared, bucket, declared.concurrency / max(1, entries))
 
     def rebalance(self, me: HostId, entries: frozenset[HostId], now: float, stale_s: float) -> None:
-        """Work the share out anew from the demand of the entries of the account.
+        """Recompute the share from the demand of the account's entries.
 
-        Entries beside those of the account count only while they report demand.
+        Entries other than those of the account count only while they report demand.
         """
         for host in [
             host for host, report in self.reports.items() if now - report.received_at > stale_s
@@ -197,7 +200,7 @@
         self.concurrency = split_limit(self.declared.concurrency, running)[me]
 
     def running_demand(self, now: float) -> int:
-        """Return how many requests the account would run here at once if it could."""
+        """Return how many requests the account would run here concurrently without its limit."""
         return self.running + math.ceil(self.wanted_running.rate(now))
 
     def has_slot(self, urgent: bool, urgent_share: float) -> bool:
--- a/src/lacewinggw/decisions/locality.py
+++ b/src/lacewinggw/decisions/locality.py
@@ -1,12 +1,13 @@
-"""Who deals with whom: which entries callers use, and which targets' agents an entry hears.
+"""Choice by place: the entries that a caller uses, and the agents that an entry subscribes to.
 
-A caller is told of near entries that are ready, and of others when there are none.
+A caller gets the ready entries of its own place, or of a larger area if there are too few.
 
-Callers keep an answer for a while and choose among its addresses at random, so an answer names
-every entry that may be used from the caller's place, and no entry that is leaving.
+Callers cache an answer and choose among its addresses at random, so an answer contains every entry
+that may be used from the caller's place, and no entry that is leaving.
 
-An entry hears the agents of its own place, and a few of each other place, to which requests spill
-over: with every agent at every entry updates would grow with both, and most would cross borders.
+An entry subscribes to the agents of its own place, and to a few of each other place, to which
+requests spill over. With every agent reporting to every entry, the number of updates would grow
+with both counts, and most would travel between places.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,16 +16,14 @@
 from lacewinggw.decisions.peerselection import rendezvous_order
 from lacewinggw.ids import Address, HostId, Place
 
-MIN_NEAR_ENTRIES = 2  # entries of the caller's own place that are enough without others
-MAX_ADDRESSES = 64  # addresses that an answer may hold
-AGENTS_PER_FAR_PLACE = (
-    2  # agents of each other place: two spread what spills over, and one may fail
-)
+MIN_NEAR_ENTRIES = 2  # with fewer entries in its place, a caller also gets others
+MAX_ADDRESSES = 64  # of one answer
+AGENTS_PER_FAR_PLACE = 2  # two spread the requests that spill over, and one may fail
 
 
 @dataclass(frozen=True)
 class ReadyEntry:
-    """An entry that takes callers."""
+    """An entry that accepts callers."""
 
     host: HostId
     place: Place
@@ -34,27 +33,30 @@
 def choose_entries(
     entries: Iterable[ReadyEntry], place: Place, regions: Mapping[Place, str]
 ) -> Sequence[Address]:
-    """Return the addresses for a caller in `place`: the nearest group that is large enough."""
-    known = list(entries)
+    """Return the addresses for a caller in `place`: of the nearest group that is large enough.
+
+    The groups are the caller's place, its region, and all entries.
+    """
+    all_entries = list(entries)
     region = regions.get(place, "")
-    near = [entry for entry in known if entry.place == place]
+    near = [entry for entry in all_entries if entry.place == place]
     if len(near) < MIN_NEAR_ENTRIES:
-        near = [entry for entry in known if region and regions.get(entry.place) == region]
+        near = [entry for entry in all_entries if region and regions.get(entry.place) == region]
     if len(near) < MIN_NEAR_ENTRIES:
-        near = known
+        near = all_entries
     return sorted(entry.address for entry in near)[:MAX_ADDRESSES]
 
 
 def choose_agents(me: HostId, place: Place, agents: Mapping[HostId, Place]) -> set[HostId]:
-    """Return the agents that an entry hears: all of its place, a few of each other.
+    """Return the agents that an entry subscribes to: all of its place, a few of each other.
 
-    Which few differs from entry to entry, so that all agents are heard by about as many.
+    The few differ from entry to entry, so that each agent reports to about as many entries.
     """
-    watched = {host for host, where in agents.items() if where == place}
+    agents_chosen = {host for host, agent_place in agents.items() if agent_place == place}
     for other in set(agents.values()) - {place}:
-        hosts = (host for host, where in agents.items() if where == other)
-        watched.update(
+        hosts = (host for host, agent_place in agents.items() if agent_place == other)
+        agents_chosen.update(
             HostId(host)
             for host in rendezvous_order(f"watched by {me}", hosts)[:AGENTS_PER_FAR_PLACE]
         )
-    return watched
+    return agents_chosen
--- a/src/lacewinggw/decisions/outcomes.py
+++ b/src/lacewinggw/decisions/outcomes.py
@@ -1,7 +1,7 @@
-"""What an entry does next when a try at a request ends without an answer, and what it may say.
+"""What an entry does when an attempt fails without an answer, and which outcome it reports.
 
-Only proof makes "not run": no target was offered the request, or each that was barred it. One try
-that may have run makes the whole request "unknown", whatever later tries say.
+"Not run" requires proof: no target was offered the request, or each that was offered it rejected
+it. One attempt that may have run makes the whole request "unknown", whatever later attempts return.
 """
 
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 )
 from lacewinggw.metrics import RetryReason
 
-RETRY_AFTER_MS = 1000  # told to the caller where nothing better is known
+RETRY_AFTER_MS = 1000  # sent to the caller if the error names no other value
 
 _RETRY_REASONS: dict[type[LacewingError], RetryReason] = {
     TargetRefused: RetryReason.TARGET_REFUSED,
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True)
 class AttemptContext:
-    """Where a request stands when a try ends.
+    """The state of a request when an attempt ends.
 
-    `delivered` counts pieces received so far; `resumable` tells whether the target's kind can go on
-    from there, `recallable` whether pieces received can still be thrown away.
+    `delivered` counts the pieces received so far. `resumable` is whether a target of this kind can
+    continue from there, `discardable` whether the received pieces can still be discarded.
     """
 
     repeatable: bool
@@ -58,21 +58,21 @@
 
 @dataclass(frozen=True)
 class Retry:
-    """Try another target, from the piece after those delivered."""
+    """Try another target, from the piece after the delivered ones."""
 
     reason: RetryReason
 
 
 @dataclass(frozen=True)
 class Restart:
-    """Throw away what was received, and try another target from the first piece."""
+    """Discard the received pieces and try another target from the first piece."""
 
     reason: RetryReason
 
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Tell the caller."""
+    """Return the error to the caller."""
 
     error: LacewingError
 
@@ -81,12 +81,12 @@
 
 
 def proves_not_run(error: LacewingError) -> bool:
-    """Return whether a try that ended so certainly did not run."""
+    """Return whether an attempt that ended with this error certainly did not run."""
     return error.outcome is Outcome.NOT_RUN or isinstance(error, Unreachable)
 
 
 def next_step(error: LacewingError, situation: AttemptContext) -> Step:
-    """Return what to do after a try ended with `error`."""
+    """Return what to do after an attempt ended with `error`."""
     if isinstance(error, DeadlinePassed | DeadlineTooNear):
         return GiveUp(final_error(error, situation))
     if proves_not_run(error):
@@ -113,20 +113,20 @@
 
 
 def _unknown_for(error: LacewingError) -> LacewingError:
-    """Return the error for a request that may have run, when the last thing met was `error`."""
+    """Return the error for a request that may have run and whose last attempt gave `error`."""
     if isinstance(error, ConnectionLost):
         return AgentLost(f"the agent was lost after the offer: {error.reason}")
-    return RequestUnknown(f"an earlier try may have run; the last thing met: {error.reason}")
+    return RequestUnknown(f"an earlier attempt may have run; the last error: {error.reason}")
 
 
 def final_error(error: LacewingError, situation: AttemptContext) -> LacewingError:
-    """Return the error to tell the caller: one of "not run" or "unknown", never without."""
-    told = error
+    """Return the error for the caller; its outcome is always "not run" or "unknown"."""
+    reported = error
     if proves_not_run(error) and not situation.may_have_run:
         if error.outcome is not Outcome.NOT_RUN:
-            told = NoTarget(error.reason, retry_after_ms=error.retry_after_ms)
+            reported = NoTarget(error.reason, retry_after_ms=error.retry_after_ms)
     elif error.outcome is not Outcome.UNKNOWN:
-        told = _unknown_for(error)
-    if not told.retry_after_ms and told.http_status in (429, 503):
-        told.retry_after_ms = RETRY_AFTER_MS
-    return told
+        reported = _unknown_for(error)
+    if not reported.retry_after_ms and reported.http_status in (429, 503):
+        reported.retry_after_ms = RETRY_AFTER_MS
+    return reported
--- a/src/lacewinggw/decisions/retries.py
+++ b/src/lacewinggw/decisions/retries.py
@@ -1,15 +1,15 @@
-"""The retry budget: retries are a share of requests, so that failures cannot multiply the load."""
+"""The retry budget: retries are limited to a share of requests, so failures cannot amplify load."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 WINDOW_S = 10
-MIN_RETRIES = 3  # retries allowed in a window however few the requests
+MIN_RETRIES = 3  # retries always allowed in a window, however few the requests
 
 
 @dataclass
 class _Second:
-    """The requests of one second."""
+    """The number of requests in one second."""
 
     number: int
     requests: int = 0
@@ -17,11 +17,11 @@
 
 @dataclass
 class RetryBudget:
-    """Counts the requests and retries of the last seconds: ten, unless told otherwise.
+    """Limits the retries within a sliding window, ten seconds by default.
 
-    In that time retries stay within `share` of the requests and `extra` more, or within three where
-    that is more. A retry is not counted as a request. Requests are counted by whole seconds, each
-    retry by its own time, so that no span as long as the window has more of them than are allowed.
+    In a window there are at most `share` of the requests plus `extra` retries, or `MIN_RETRIES` if
+    that is more. A retry is not counted as a request. Requests are counted by whole seconds and
+    each retry by its own time, so that no span as long as the window exceeds the limit.
 
         budget = RetryBudget(share=0.1)
         budget.note_call(now)
@@ -33,12 +33,12 @@
     window_s: float = WINDOW_S
     _seconds: deque[_Second] = field(default_factory=deque)
     _retries: deque[float] = field(default_factory=deque)
-    _retries_to_come: int = 0
+    _granted: int = 0
 
     def note_call(self, now: float) -> None:
-        """Count a call to a target: a request, unless it is a retry that was allowed."""
-        if self._retries_to_come:
-            self._retries_to_come -= 1
+        """Count a call to a target; a retry that was allowed does not count as a request."""
+        if self._granted:
+            self._granted -= 1
             return
         self._second(now).requests += 1
 
@@ -51,7 +51,7 @@
         if len(self._retries) + 1 > max(MIN_RETRIES, requests * self.share + self.extra):
             return False
         self._retries.append(now)
-        self._retries_to_come += 1
+        self._granted += 1
         return True
 
     def _second(self, now: float) -> _Second:
--- a/src/lacewinggw/decisions/routing.py
+++ b/src/lacewinggw/decisions/routing.py
@@ -1,10 +1,10 @@
-"""Which target a request goes to: two candidates, the one that will be done first.
+"""Choice of a target by cost: of two sampled candidates, the one that would finish first.
 
-The cost of a target is the time in which it would be done with one more request: the time that a
-request runs there, longer with others beside it in the batch, and the wait for those ahead once its
-slots are full. What is ahead is this entry's own calls in flight, known exactly, and those of
-others as the target last reported, discounted by the report's age. An urgent request goes to the
-head of the queue, so only urgent ones are ahead of it.
+The cost of a target is the time in which it would finish one more request. It consists of the time
+that a request runs there, longer in a fuller batch, and the wait for the requests ahead once its
+slots are full. The requests ahead are this entry's own calls in flight, whose number is exact, and
+those of other entries as the target last reported, discounted by the report's age. An urgent
+request goes to the head of the queue, so only urgent ones are ahead of it.
 """
 
 import math
@@ -17,16 +17,16 @@
 from lacewinggw.ids import Address, Digest, HostId, Incarnation, Place, ReleaseName, ServiceName
 
 CANDIDATES = 2
-URGENT_CANDIDATES = 4  # few enough that a closer look does not send them all to one target
+URGENT_CANDIDATES = 4  # few enough that concurrent urgent requests do not all choose one target
 REPORT_DECAY_S = 1.0  # a report this old counts for 1/e
-TIME_DECAY_S = 10.0  # a target's own time per request fades towards its service's over this
+TIME_DECAY_S = 10.0  # decay of a target's own request time towards the median of its service
 MIN_SLOW_START_SHARE = 0.1
 BATCH_FACTOR = 0.5  # a full batch makes a request take this much longer
 REMOTE_FACTOR = 1.2  # a target in another place costs this much more
 
 
 class Policy(Enum):
-    """How a target is chosen. All but the first are there to compare with."""
+    """How a target is chosen. All but `COST` are baselines for comparison."""
 
     COST = "cost"
     IN_FLIGHT = "in-flight"  # fewest calls of this entry in flight
@@ -36,7 +36,7 @@
 
 @dataclass
 class TargetStats:
-    """What an entry knows of one target. Times in seconds, by the entry's own clock."""
+    """An entry's view of one target. Times in seconds, by the entry's own clock."""
 
     host: HostId
     place: Place
@@ -47,22 +47,22 @@
     digest: Digest
     near: bool = True
     in_flight: int = 0
-    last_call: int = 0  # number of the last call that went here, of all calls of this entry
+    last_call: int = 0  # number of the last call sent here, counted over all calls of this entry
     capacity: int = 1
     reported: int = 0  # running and queued, by the last report
-    reported_own: int = 0  # of those, this entry's own when the report came
-    reported_urgent: int = 0  # of those, urgent ones
+    reported_own: int = 0  # this entry's own calls when the report arrived
+    reported_urgent: int = 0  # urgent requests among the reported ones
     reported_at: float = 0.0
     serving: bool = False
     serving_since: float = 0.0
-    request_s: float | None = None  # time that one request runs, as the target's agent smooths it
+    request_s: float | None = None  # time that one request runs, smoothed by the target's agent
     sampled_at: float = 0.0
     health: TargetHealth = field(default_factory=TargetHealth)
 
 
 @dataclass(frozen=True)
 class RoutingContext:
-    """What a choice is made by, beside the targets: the time, and what is usual of the service."""
+    """The inputs of a choice besides the targets: the time and typical values of the service."""
 
     now: float
     typical_s: float = 1.0  # time that one request runs
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What a target's agent says of its load, `age_s` seconds old when it comes."""
+    """A load report of a target's agent, `age_s` seconds old on arrival."""
 
     running: int
     queued: int
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The target that a request goes to."""
+    """The target that a request is sent to."""
 
     host: HostId
     address: Address
@@ -93,9 +93,9 @@
 
 
 def note_report(stats: TargetStats, report: LoadReport, now: float) -> None:
-    """Take in a load report.
+    """Record a load report.
 
-    A time per request that is told again unchanged is no new sample: it goes on fading.
+    An unchanged time per request is not a new sample, so it continues to decay.
     """
     stats.reported = report.running + report.queued
     stats.reported_own = stats.in_flight
@@ -108,7 +108,7 @@
 
 
 def work_ahead(stats: TargetStats, now: float) -> float:
-    """Return the requests ahead of one more: own ones, and others' by the discounted report."""
+    """Return how many requests are ahead of one more: own calls, and others' by the report."""
     others = stats.reported - stats.reported_own
     if others <= 0:
         return stats.in_flight
@@ -120,7 +120,7 @@
 
 
 def slow_start_share(stats: TargetStats, context: RoutingContext) -> float:
-    """Return the share of its capacity that a fresh target is given, rising to 1."""
+    """Return the share of its capacity that a newly serving target gets, rising to 1."""
     if context.slow_start_s <= 0:
         return 1.0
     share = (context.now - stats.serving_since) / context.slow_start_s
@@ -128,13 +128,13 @@
 
 
 def occupancy(stats: TargetStats, context: RoutingContext) -> float:
-    """Return how full a target would be with one more request; 1 is full."""
+    """Return the occupancy of a target with one more request, as a share of its capacity."""
     share = slow_start_share(stats, context)
     return (1.0 + work_ahead(stats, context.now)) / (stats.capacity * share)
 
 
 def request_time(stats: TargetStats, context: RoutingContext) -> float:
-    """Return the time one request runs, fading to the usual of the service without samples."""
+    """Return the time one request runs, which decays to the typical time without new samples."""
     if stats.request_s is None:
         return context.typical_s
     weight = math.exp(-max(0.0, context.now - stats.sampled_at) / TIME_DECAY_S)
@@ -142,7 +142,7 @@
 
 
 def cost(stats: TargetStats, context: RoutingContext) -> float:
-    """Return the time in which a target would be done with one more request, in seconds."""
+    """Return the time in which a target would finish one more request, in seconds."""
     slots = max(1.0, stats.capacity * slow_start_share(stats, context))
     ahead = work_ahead(stats, context.now)
     batch = BATCH_FACTOR * min(ahead, slots) / slots
@@ -155,7 +155,7 @@
 
 
 def median_request_time(targets: Sequence[TargetStats]) -> float:
-    """Return the median time per request among targets, 1.0 while none is known."""
+    """Return the median time per request of the targets in seconds, 1.0 while none is known."""
     known = sorted(stats.request_s for stats in targets if stats.request_s is not None)
     return known[len(known) // 2] if known else 1.0
 
@@ -163,7 +163,7 @@
 def sample_targets(
     targets: Sequence[TargetStats], count: int, rng: random.Random
 ) -> Sequence[TargetStats]:
-    """Return `count` different targets at random, or all when there are no more."""
+    """Return `count` different targets at random, or all if there are no more."""
     if len(targets) <= count:
         return targets
     return rng.sample(targets, count)
@@ -175,7 +175,7 @@
     rng: random.Random,
     policy: Policy = Policy.COST,
 ) -> TargetStats | None:
-    """Return the target that the policy gives, or none when there is no target."""
+    """Return the target that the policy chooses, or None if there is no target."""
     if not targets:
         return None
     match policy:
@@ -192,12 +192,12 @@
 def draw_candidates(
     targets: Sequence[TargetStats], context: RoutingContext, rng: random.Random
 ) -> Sequence[TargetStats]:
-    """Return the few targets at random that a choice by cost is made among."""
+    """Return a random sample of the targets, from which the cheapest is chosen."""
     return sample_targets(targets, URGENT_CANDIDATES if context.urgent else CANDIDATES, rng)
 
 
 def cheapest(
     targets: Sequence[TargetStats], context: RoutingContext, rng: random.Random
 ) -> TargetStats:
-    """Return the target with the least cost, one of them at random when several have it."""
+    """Return the target with the least cost, with ties broken at random."""
     return min(targets, key=lambda stats: (cost(stats, context), rng.random()))
--- a/src/lacewinggw/decisions/subsets.py
+++ b/src/lacewinggw/decisions/subsets.py
@@ -1,9 +1,9 @@
-"""Which targets of a service one entry deals with: a bounded subset, near ones first.
+"""The bounded subset of a service's targets to which one entry sends requests, near ones first.
 
-Up to half of it are targets in the entry's own place. The rest is a stretch of the ring of all
-targets in hash order; the entries, in hash order too, start at even distances. So every target is
-dealt with by nearly the same number of entries, and none by nobody, while a host that comes or goes
-moves each stretch by one.
+Up to half of the subset are targets in the entry's own place. The rest is a segment of the ring of
+all targets in hash order; the entries, also in hash order, start at even distances. So every target
+is in the subset of nearly the same number of entries, and of at least one, while a host that joins
+or leaves shifts each segment by one.
 """
 
 import itertools
@@ -14,12 +14,12 @@
 from lacewinggw.ids import Address, HostId, Place
 
 RING = "ring"
-NEAR_DIVISOR = 2  # at most one in so many of a subset is there for being near
+NEAR_DIVISOR = 2  # at most 1/2 of a subset is chosen for being in the entry's place
 
 
 @dataclass(frozen=True)
 class TargetHost:
-    """A live host with a target: its place and its agent's address."""
+    """A live host with a target: its place and the address of its agent."""
 
     host: HostId
     place: Place
@@ -27,7 +27,7 @@
 
 
 def ring_position(entry: HostId, entries: Iterable[HostId]) -> float:
-    """Return where the stretch of `entry`, one of the live entries, begins: from 0 up to 1."""
+    """Return where the ring segment of `entry`, a live entry, begins: from 0 up to 1."""
     ranked = rank_hosts(RING, {entry, *entries})
     return ranked.index(entry) / len(ranked)
 
@@ -35,15 +35,17 @@
 def pick_subset(
     entry: HostId, place: Place, position: float, hosts: Sequence[TargetHost], size: int
 ) -> list[TargetHost]:
-    """Return at most `size` hosts for `entry`, whose stretch of the ring begins at `position`."""
+    """Return at most `size` hosts for `entry`, whose ring segment begins at `position`."""
     if len(hosts) <= size:
         return list(hosts)
     by_host = {facts.host: facts for facts in hosts}
-    near = [facts.host for facts in hosts if facts.place == place]
-    chosen = rank_hosts(entry, near)[: size // NEAR_DIVISOR]
+    near_hosts = [facts.host for facts in hosts if facts.place == place]
+    chosen = rank_hosts(entry, near_hosts)[: size // NEAR_DIVISOR]
     ring = rank_hosts(RING, by_host)
     start = int(position * len(ring))
-    taken = set(chosen)
-    stretch = (host for host in itertools.chain(ring[start:], ring[:start]) if host not in taken)
-    chosen += itertools.islice(stretch, size - len(chosen))
+    chosen_hosts = set(chosen)
+    ring_hosts = (
+        host for host in itertools.chain(ring[start:], ring[:start]) if host not in chosen_hosts
+    )
+    chosen += itertools.islice(ring_hosts, size - len(chosen))
     return [by_host[host] for host in chosen]
--- a/src/lacewinggw/decisions/targetlist.py
+++ b/src/lacewinggw/decisions/targetlist.py
@@ -1,4 +1,4 @@
-"""What the operators' list says of targets and of the weights that are due on them."""
+"""Targets, and the model versions due on them, as the operators' list has them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -16,11 +16,11 @@
 
 
 def make_target_id(name: TargetName, born_ms: int) -> TargetId:
-    """Return the id of one start of a target, from its name and when that start was born.
+    """Return the id of one start of a target, from its name and the time of the start.
 
-    >>> start_of(TargetName("i-7f3a"), 1764700000000)
+    >>> make_target_id(TargetName("i-7f3a"), 1764700000000)
     'i-7f3a/1764700000000'
-    >>> start_of(TargetName("i-7f3a"), 0)  # it does not tell: the name is taken for one start
+    >>> make_target_id(TargetName("i-7f3a"), 0)  # no start time: the name stands for a single start
     'i-7f3a'
     """
     return TargetId(f"{name}/{born_ms}" if born_ms else name)
@@ -30,11 +30,11 @@
 class TargetEntry:
     """One start of a target, as the list of targets has it.
 
-    A target may start again under its `name`; it then holds and knows nothing of before, so all
-    that is believed of it goes by `target`, the start. `born_ms` is when it started, in Unix
-    milliseconds by its own clock; 0 where it does not tell. `weights` are the versions of models
-    that it serves whole; `slots` how many requests it runs at once; `cold_s` how much longer it is
-    slow after its start.
+    A target may restart under the same `name`. It then has none of its earlier state, so all cached
+    state about it is kept by `target`, the id of the start. `born_ms` is when it started, in Unix
+    milliseconds by its own clock, or 0 if unknown. `weights` holds the version of each model that
+    it serves whole. `slots` is how many requests it runs concurrently, and `cold_s` for how many
+    more seconds it is slow after its start.
     """
 
     name: TargetName
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class DueVersion:
-    """The version of a model's weights that its operators want served."""
+    """The version of a model's weights that its operators want targets to serve."""
 
     model: ModelName
     version: int
--- a/src/lacewinggw/decisions/targetrate.py
+++ b/src/lacewinggw/decisions/targetrate.py
@@ -1,13 +1,14 @@
-"""Rate limits that targets name in their answers, and the share of them that an entry may use.
+"""Rate limits that targets set in their answers, and the share of them that an entry may use.
 
-The load it answers: many entries before one target that limits all of them together. If each entry
-kept the limit by itself, the target would get as many times as much as there are entries; if each
-of 98 entries had a share, none of them could send a whole request in a minute. So a few entries
-hold the limit, more of them for a larger one, with an equal share each. Every entry works out from
-the list of entries whether it is one of them: nobody is asked, and no clocks are compared.
+The load it handles: many entries send to one target whose limit applies to all of them together. If
+each entry applied the whole limit by itself, the target would receive a multiple of it, once per
+entry. If each of 98 entries had a share, none of them could send a whole request in a minute. So a
+few entries hold the limit with an equal share each, and more of them for a larger limit. Every
+entry computes from the list of entries whether it is a holder, without messages and without
+comparing clocks.
 
-Answers overtake each other: one without a limit ends it only if its request was sent after the
-limit was seen.
+Answers may arrive out of order: an answer without a limit ends the limit only if its request was
+sent after the limit was seen.
 """
 
 import math
@@ -19,32 +20,31 @@
 from lacewinggw.decisions.routereaders import PeerEntry
 from lacewinggw.ids import HostId, Place, TargetId
 
-# Each holder may have one request saved up. With two holders for each request a second and three
-# more, all that is saved, spent at one moment, is half of what the target asks for in four seconds
-# and three requests.
+# Each holder accumulates at most one request. With two holders per request a second and three more,
+# a burst of all accumulated requests is half of what the limit allows in four seconds, plus three.
 HOLDERS_PER_RATE = 2
 MIN_HOLDERS = 3
-# A target that allows less still gets this much, as only an answer tells that the limit is over.
+# A target with a lower limit still gets this rate, as only an answer shows that the limit is over.
 MIN_RATE_PER_S = 0.2
-# An update of the same limit counts once it is so much newer: each is a little older on arrival
-# than it looks, and would go back and forth.
+# A report of the same limit is taken only if it is newer by this much: reports are slightly older
+# on arrival than they say, and would otherwise be passed back and forth.
 REFRESH_S = 0.25
 
 
 class LimitSource(Enum):
-    """How this entry knows of a limit."""
+    """Where this entry learned a limit from."""
 
-    ANSWER = "answer"  # by an answer of the target itself
-    NEAR = "near"  # an entry of this place has had such an answer
-    FAR = "far"  # by an entry that was told so itself
+    ANSWER = "answer"  # an answer of the target itself
+    NEAR = "near"  # an entry of this place that got such an answer
+    FAR = "far"  # an entry that got the limit from another entry, or is in another place
 
 
 @dataclass
 class TargetRate:
-    """The rate limit that a target has named last; `per_s` is None where there is none.
+    """The last rate limit of a target, in requests a second; `per_s` is None without a limit.
 
-    `seen_at` is when the last answer came that named or ended a limit, in seconds of a clock that
-    goes on while a host is suspended.
+    `seen_at` is when the last answer arrived that set or ended a limit, in seconds of a clock that
+    continues while a host is suspended.
     """
 
     per_s: float | None = None
@@ -52,13 +52,13 @@
     source: LimitSource = LimitSource.ANSWER
 
     def note_answer(self, per_s: float | None, sent_at: float, now: float) -> bool:
-        """Take what an answer to a request sent at `asked_at` says; return whether it is new."""
+        """Take the limit in an answer to a request sent at `sent_at`; return whether it changed."""
         if per_s is None and (self.per_s is None or sent_at < self.seen_at):
             return False
         return self._take(per_s, now, LimitSource.ANSWER)
 
     def note_update(self, per_s: float | None, seen_at: float, source: LimitSource) -> bool:
-        """Take what another entry saw at `seen_at`; return whether it is new."""
+        """Take a limit that another entry saw at `seen_at`; return whether it changed."""
         margin_s = REFRESH_S if per_s == self.per_s else 0.0
         if seen_at <= self.seen_at + margin_s:
             return False
@@ -72,9 +72,9 @@
 
 @dataclass
 class Allowance:
-    """A token bucket for one request: what an entry may send to a target that limits its rate.
+    """A token bucket of size one for an entry's requests to a target that limits its rate.
 
-    It fills by `share_per_s`, and is empty at first. Times are in seconds of the caller's clock.
+    It fills at `share_per_s` and starts empty. Times are in seconds of the caller's clock.
 
         allowance = Allowance(share_per_s=0.5, filled_at=now)
         if allowance.is_open(now):
@@ -83,41 +83,44 @@
 
     share_per_s: float
     filled_at: float
-    _saved: float = 0.0
+    _tokens: float = 0.0
 
     def is_open(self, now: float) -> bool:
         """Return whether one more request may be sent."""
         return now >= self.opens_at(now)
 
     def opens_at(self, now: float) -> float:
-        """Return when the next request may be sent; never, for an entry without a share."""
+        """Return when the next request may be sent, infinite for an entry without a share."""
         self._fill(now)
-        if self._saved >= 1.0:
+        if self._tokens >= 1.0:
             return now
-        return now + (1.0 - self._saved) / self.share_per_s if self.share_per_s else math.inf
+        return now + (1.0 - self._tokens) / self.share_per_s if self.share_per_s else math.inf
 
     def spend(self, now: float) -> None:
         """Note that a request is sent."""
         self._fill(now)
-        self._saved = max(0.0, self._saved - 1.0)
+        self._tokens = max(0.0, self._tokens - 1.0)
 
     def set_share(self, share_per_s: float, now: float) -> None:
-        """Go on with another share; an entry that loses its share loses what it had saved."""
+        """Change the share; an entry that loses its share also loses its accumulated token."""
         self._fill(now)
         self.share_per_s = share_per_s
         if not share_per_s:
-            self._saved = 0.0
+            self._tokens = 0.0
 
     def _fill(self, now: float) -> None:
         earned = self.share_per_s * max(0.0, now - self.filled_at)
-        self._saved = min(1.0, self._saved + earned)
+        self._tokens = min(1.0, self._tokens + earned)
         self.filled_at = max(self.filled_at, now)
 
 
 def entry_share(
     me: HostId, target: TargetId, place: Place, per_s: float, entries: Iterable[PeerEntry]
 ) -> float:
-    """Return how many requests a second an entry may send to a target in `place`; mostly 0."""
+    """Return the rate at which an entry may send to a target in `place`, 0 unless it is a holder.
+
+    The rate is in requests a second.
+    """
     holders = choose_holders(target, place, per_s, entries)
     return max(per_s, MIN_RATE_PER_S) / len(holders) if me in holders else 0.0
 
@@ -125,16 +128,16 @@
 def choose_holders(
     target: TargetId, place: Place, per_s: float, entries: Iterable[PeerEntry]
 ) -> list[HostId]:
-    """Return the entries that may send to a target: those of its place before others.
+    """Return the entries that may send to a target, those of its place before others.
 
-    They hear the agent beside the target, and what they send crosses no border.
+    They receive the reports of the target's agent, and their requests stay within the place.
     """
-    known = list(entries)
+    candidates = list(entries)
     near = rendezvous_order(
-        f"limit of {target}", (each.host for each in known if each.place == place)
+        f"limit of {target}", (each.host for each in candidates if each.place == place)
     )
     far = rendezvous_order(
-        f"limit of {target}", (each.host for each in known if each.place != place)
+        f"limit of {target}", (each.host for each in candidates if each.place != place)
     )
     count = MIN_HOLDERS + math.floor(HOLDERS_PER_RATE * per_s)
     return [HostId(host) for host in [*near, *far][:count]]
--- a/src/lacewinggw/decisions/waitbudget.py
+++ b/src/lacewinggw/decisions/waitbudget.py
@@ -1,10 +1,10 @@
-"""How long a request may wait for a target and still be worth the wait.
+"""The time that a request may wait for a target.
 
-The load it answers: more requests than the targets can start. A caller is served well by the first
-part of an answer within the route's objective, counted from its first attempt, and far less well
-later. So a request waits only while it can still be on time; what cannot is told at once when to
-come back. One that came back is late already: it waits behind those that can be on time, but
-longer, since to refuse it again is the worst of all.
+The load it handles: more requests than the targets can start. A caller is served well if the first
+part of the answer arrives within the route's objective, counted from its first attempt, and far
+less well later. So a request waits only while it can still be on time; otherwise it is refused at
+once with a time to retry. A retry is late already: it waits behind requests that can be on time,
+but longer than them, since refusing it again is the worst outcome.
 """
 
 from dataclasses import dataclass, field
@@ -13,26 +13,27 @@
 from lacewinggw.decisions.waitqueue import MIN_LATE_SHARE
 from lacewinggw.ids import RouteName
 
-# What a refused caller is told to stay away, at the least. Callers choose the time that they give a
-# request themselves, and differ: only one that has had the time to be refused and to come back is
-# taken for a later attempt, or many first attempts would be put behind the others.
+# The shortest time to retry that a refused caller is sent. Callers choose their own timeouts, and
+# these differ. A request counts as a later attempt only if enough of its timeout has passed for a
+# refusal and a retry; otherwise many first attempts would be queued behind the others.
 MIN_RETRY_AFTER_S = 1.0
-RETRY_AFTER_SHARE = (
-    1 / 3
-)  # of the time left, beyond which callers do not wait, whatever they are told
-TIMEOUT_SPREAD = 0.15  # of the longest time that callers of a route give, by which they differ
-CONTENTION_FACTOR = 1.6  # others' prompts are read in between
-PLAIN_SHARE = 0.4  # of the objective that a plain target takes; operators set it at 3 to 5 times
-MAX_LATE_WAIT_S = 1.5  # of a request that is late already
-LATE_WAIT_SHARE = 0.5  # of the time that it has left, so that the answer has the other half
-# Of the late requests that waited, as many must have started lately for a wait to be offered: below
-# it most callers would be held only to be refused. A few still wait a little, and show a change.
+RETRY_AFTER_SHARE = 1 / 3  # of the time left: callers wait no longer, whatever time they are sent
+TIMEOUT_SPREAD = 0.15  # share of a route's longest timeout by which callers' timeouts differ
+CONTENTION_FACTOR = 1.6  # prefill of other requests is interleaved
+# Share of the objective that a plain target takes to the first part of its answer. Operators set
+# the objective to 3 to 5 times that time.
+PLAIN_SHARE = 0.4
+MAX_LATE_WAIT_S = 1.5  # for a request that is late already
+LATE_WAIT_SHARE = 0.5  # of its time left, so that the answer has the other half
+# The wait of a late request is scaled by the share of late requests that recently started after a
+# wait. Below this share most callers would be kept waiting only to be refused, so the wait is
+# scaled by `MIN_LATE_SHARE`: a few requests still wait a little, which shows a change.
 MIN_LATE_START_SHARE = 0.3
 
 
 @dataclass(frozen=True)
 class WaitBudget:
-    """How long a request may wait; `is_late` when it cannot be on time any more."""
+    """How long a request may wait, and whether it can no longer be on time (`is_late`)."""
 
     wait_s: float
     is_late: bool
@@ -40,16 +41,19 @@
 
 @dataclass
 class CallerTimeouts:
-    """The time that callers of each route usually give, by which a later attempt is known.
+    """The longest timeout seen from callers of each route, by which later attempts are recognized.
 
-    times = CallerTimes()
-    elapsed_s = times.elapsed(route.name, time_left_s)
+    timeouts = CallerTimeouts()
+    elapsed_s = timeouts.elapsed(route.name, time_left_s)
     """
 
     _longest_s: dict[RouteName, float] = field(default_factory=dict)
 
     def elapsed(self, route: RouteName, time_left_s: float | None) -> float:
-        """Return how long ago the caller's first attempt was, as far as its time left tells."""
+        """Return the estimated time since the caller's first attempt, in seconds.
+
+        Return 0 for what may be a first attempt.
+        """
         if time_left_s is None:
             return 0.0
         longest_s = max(time_left_s, self._longest_s.get(route, 0.0))
@@ -64,13 +68,13 @@
 
 
 def prefill_time(engine: EngineProfile, prompt_tokens: int) -> float:
-    """Return how long an engine takes to read a prompt by itself, in seconds."""
+    """Return how long an otherwise idle engine takes for the prefill of a prompt, in seconds."""
     pairs = prompt_tokens * prompt_tokens / 2
     return prompt_tokens / engine.read_tokens_per_s + pairs / 1e6 * engine.pair_s_per_million
 
 
 def first_part_s(route: Route, engine: EngineProfile | None, prompt_tokens: int) -> float:
-    """Return how long a target takes to the first part of its answer, once it has started."""
+    """Return the time from the start at a target to the first part of the answer, in seconds."""
     if engine is None:
         return PLAIN_SHARE * route.objective_s
     read_s = prefill_time(engine, prompt_tokens)
@@ -86,12 +90,13 @@
     left_s: float,
     late_share: float = 1.0,
 ) -> WaitBudget:
-    """Return how long a request may wait that has `left_s` seconds left.
+    """Return how long a request with `left_s` seconds left may wait.
 
-    `late_share` is the share of late requests that started lately: what waits in vain waits less.
+    `late_share` is the share of late requests that recently started. The fewer start, the shorter
+    a late request waits.
     """
-    spare_s = route.objective_s - elapsed_s - first_part_s(route, engine, prompt_tokens)
-    if spare_s > 0:
-        return WaitBudget(min(spare_s, left_s), is_late=False)
-    offered = late_share if late_share >= MIN_LATE_START_SHARE else MIN_LATE_SHARE
-    return WaitBudget(offered * min(MAX_LATE_WAIT_S, LATE_WAIT_SHARE * left_s), is_late=True)
+    slack_s = route.objective_s - elapsed_s - first_part_s(route, engine, prompt_tokens)
+    if slack_s > 0:
+        return WaitBudget(min(slack_s, left_s), is_late=False)
+    share = late_share if late_share >= MIN_LATE_START_SHARE else MIN_LATE_SHARE
+    return WaitBudget(share * min(MAX_LATE_WAIT_S, LATE_WAIT_SHARE * left_s), is_late=True)
--- a/src/lacewinggw/decisions/waitqueue.py
+++ b/src/lacewinggw/decisions/waitqueue.py
@@ -1,12 +1,13 @@
-"""Requests that wait at an entry for a target: in which order, how long, and how many.
+"""The queue of requests that wait at an entry for a target of one service.
 
-The load it answers: more requests than the targets can start. A queue without a bound makes every
-answer late; one that is bounded by time serves as many on time as the targets can carry and tells
-the others at once when to come back. The order is by priority, then those that can still be on
-time, the newest of them first, then those that are late, the oldest first.
+The load it handles: more requests than the targets can start. An unbounded queue makes every answer
+late. A queue bounded by waiting time serves as many requests on time as the targets can run, and
+refuses the others at once with a time to retry. The order is by priority, then requests that can
+still be on time, newest first, then late requests, oldest first.
 
-The newest first, because whoever waits in the order of arrival starts when its time has nearly run
-out: an overload that lasts a second makes everybody late, and stays.
+Requests that can be on time are served newest first because in the order of arrival each would
+start when its time has nearly run out: an overload of one second would make all of them late, and
+keep them late.
 """
 
 import heapq
@@ -16,13 +17,13 @@
 
 START_GAP_WEIGHT = 0.1  # weight of a new sample in the smoothed time between starts
 LATE_SHARE_WEIGHT = 0.1  # weight of one late request in the share of them that started
-MIN_LATE_SHARE = 0.1  # so that there is always a sample
-MAX_START_GAP_S = 0.5  # a pause in demand says nothing of how fast targets take work
+MIN_LATE_SHARE = 0.1  # above 0, so that some late requests still wait and provide samples
+MAX_START_GAP_S = 0.5  # a longer gap is a pause in demand, not the rate at which targets start work
 
 
 @dataclass(order=True)
 class Waiter:
-    """A request that waits; `until` is when it is refused, in seconds of the loop's clock."""
+    """A queued request; `until` is when it is refused, in seconds of the loop's clock."""
 
     rank: tuple[int, int, float, int]
     until: float = field(compare=False)
@@ -30,16 +31,16 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether it cannot be on time any more."""
+        """Whether the request can no longer be on time."""
         return self.rank[1] > 0
 
 
 class WaitQueue:
     """The waiting requests of one service.
 
-    line = WaitingLine()
-    if line.expected_wait(priority, is_late=False) <= patience_s:
-        waiter = line.join(priority, is_late=False, until=now + patience_s)
+    queue = WaitQueue()
+    if queue.expected_wait(priority, is_late=False) <= budget.wait_s:
+        waiter = queue.add(priority, is_late=False, until=now + budget.wait_s)
     """
 
     def __init__(self) -> None:
@@ -55,9 +56,9 @@
 
     @property
     def late_share(self) -> float:
-        """The share of late requests that started lately, from `LATE_LEAST` to 1.
+        """The share of late requests that recently started, from `MIN_LATE_SHARE` to 1.
 
-        In a burst they start after it; in an overload that goes on they only wait in vain.
+        Late requests start after a burst, but hardly ever during a lasting overload.
         """
         return max(MIN_LATE_SHARE, self._late_share)
 
@@ -66,7 +67,7 @@
         self._late_share += LATE_SHARE_WEIGHT * (float(started) - self._late_share)
 
     def expected_wait(self, priority: int, is_late: bool) -> float:
-        """Return how long one more request would wait, in seconds."""
+        """Return the expected wait of one more request, in seconds."""
         rank = (priority, int(is_late))
         ahead = sum(1 for each in self._heap if not each.is_removed and each.rank[:2] < rank)
         if is_late:
@@ -76,9 +77,9 @@
     def add(
         self, priority: int, is_late: bool, until: float, arrived_at: float | None = None
     ) -> Waiter:
-        """Add a request; one that `is_late` goes behind those that can be on time.
+        """Add a request; a late one is queued behind those that can be on time.
 
-        It takes its place by when it arrived where that is given, then by when it joined.
+        Its position is by `arrived_at` if given, then by the order of the calls.
         """
         order = (arrived_at or 0.0, next(self._numbers))
         age, number = order if is_late else (-order[0], -order[1])
@@ -88,7 +89,7 @@
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out: it starts, is refused, or its caller has left."""
+        """Remove a request that starts, is refused, or whose caller has disconnected."""
         if waiter.is_removed:
             return
         waiter.is_removed = True
@@ -97,13 +98,13 @@
             heapq.heappop(self._heap)
 
     def in_order(self) -> Iterator[Waiter]:
-        """Yield those that wait, the next one first."""
+        """Yield the queued requests, the next one first."""
         for waiter in sorted(self._heap):
             if not waiter.is_removed:
                 yield waiter
 
     def note_start(self, now: float) -> None:
-        """Note that a request started at a target, from the line or at once."""
+        """Note that a request started at a target, with or without a wait."""
         last, self._started_at = self._started_at, now
         if last is None or not self._waiting:
             return
--- a/tests/fleet/crashing.py
+++ b/tests/fleet/crashing.py
@@ -1,4 +1,4 @@
-"""A request that ends each target that begins it, asked again and again, and others beside it."""
+"""A request that crashes every target that begins it, sent repeatedly among other requests."""
 
 import asyncio
 import random
@@ -10,14 +10,14 @@
 from lacewinggw.frontend.process import FrontendProcess
 
 CRASHING = b"a request that no target survives"
-NOTICE_S = 3.0  # what an entry has to notice that a third target ended
-ALLOWED_LATER = 3  # arrivals after that
-ATTEMPTS = 2  # of a caller at a request
+NOTICE_S = 3.0  # the time that entries have to detect the third crash
+ALLOWED_LATER = 3  # arrivals at targets allowed after that time
+ATTEMPTS = 2  # of a caller for one request
 
 
 @dataclass
 class Played:
-    """What came of the requests; each of the others is asked once, and has a body of its own."""
+    """The replies to the crashing request and to others; each of the others has a unique body."""
 
     crashing: list[Reply] = field(default_factory=list)
     others: list[Reply] = field(default_factory=list)
@@ -30,19 +30,19 @@
     others_per_s: float = 12.0,
     seed: int = 1,
 ) -> Played:
-    """Ask for some seconds, at entries drawn from the seed; return when all is answered.
+    """Send requests for some seconds to entries drawn from the seed; return when all have ended.
 
-    Whoever is refused comes back once, as callers do, with the same body.
+    A refused request is retried once with the same body, as callers do.
     """
     played = Played()
     rng = random.Random(seed)
-    crashing = _ask_often(fleet, seconds, crashing_per_s, rng, None, played.crashing)
-    others = _ask_often(fleet, seconds, others_per_s, rng, "other", played.others)
+    crashing = _send_at_rate(fleet, seconds, crashing_per_s, rng, None, played.crashing)
+    others = _send_at_rate(fleet, seconds, others_per_s, rng, "other", played.others)
     await asyncio.gather(crashing, others)
     return played
 
 
-async def _ask_often(
+async def _send_at_rate(
     fleet: DeclaredFleet,
     seconds: float,
     per_s: float,
@@ -56,7 +56,7 @@
             try:
                 reply = await fleet.ask("/report/1", entry=entry, body=body, X_Model="market")
             except OSError:
-                continue  # that entry is away
+                continue  # that entry is down
             replies.append(reply)
             if reply.whole and reply.status < 500:
                 return
@@ -71,13 +71,13 @@
     await asyncio.gather(*asked)
 
 
-def ends(fleet: DeclaredFleet) -> list[float]:
-    """Return when targets ended, in order."""
+def crash_times(fleet: DeclaredFleet) -> list[float]:
+    """Return the times at which targets crashed, in order."""
     return sorted(at for target in fleet.targets.values() for at in target.ended_at)
 
 
-def arrivals(fleet: DeclaredFleet, body: bytes = CRASHING) -> list[float]:
-    """Return when a request reached targets, in order."""
+def arrival_times(fleet: DeclaredFleet, body: bytes = CRASHING) -> list[float]:
+    """Return the times at which a request reached targets, in order."""
     return sorted(
         at
         for target in fleet.targets.values()
@@ -87,15 +87,15 @@
 
 
 def late_arrivals(fleet: DeclaredFleet, body: bytes = CRASHING) -> list[float]:
-    """Return the arrivals of a request once its third target had ended so long ago."""
-    noticed_at = ends(fleet)[2] + NOTICE_S
-    return [at for at in arrivals(fleet, body) if at > noticed_at]
+    """Return the arrivals of a request later than `NOTICE_S` after the third crash."""
+    noticed_at = crash_times(fleet)[2] + NOTICE_S
+    return [at for at in arrival_times(fleet, body) if at > noticed_at]
 
 
 async def add_engines(
     fleet: DeclaredFleet, engines: int, pause_s: float = 0.1, places: Sequence[str] = ("hall",)
 ) -> None:
-    """Add model engines with agents, which end under the request, to a fleet."""
+    """Add model engines with agents to a fleet; the engines crash on the request."""
     for number in range(engines):
         name = f"engine{number}"
         place = places[number % len(places)]
@@ -106,8 +106,8 @@
     await asyncio.sleep(2.0)
 
 
-def crashing_refused(played: Played) -> list[Reply]:
-    """Return the answers that say that the request is kept away from targets, and has not run."""
+def refused_as_quarantined(played: Played) -> list[Reply]:
+    """Return the replies that refuse the request as quarantined and not run."""
     return [
         reply
         for reply in played.crashing
@@ -115,20 +115,20 @@
     ]
 
 
-def quarantined(entry: FrontendProcess) -> int:
-    """Return how many requests an entry keeps away from targets."""
-    wanted = "lacewinggw_requests_quarantined "
-    lines = [line for line in entry.metrics.render().splitlines() if line.startswith(wanted)]
-    return round(float(lines[0].removeprefix(wanted)))
+def count_quarantined(entry: FrontendProcess) -> int:
+    """Return how many requests an entry has quarantined."""
+    metric = "lacewinggw_requests_quarantined "
+    lines = [line for line in entry.metrics.render().splitlines() if line.startswith(metric)]
+    return round(float(lines[0].removeprefix(metric)))
 
 
 async def restart_entries(fleet: DeclaredFleet, count: int) -> None:
-    """End the first entries at one moment, and start them anew without anything of before."""
+    """Stop the first `count` entries together and restart them without their earlier state."""
     for entry in fleet.entries[:count]:
         await entry.close()
-    later = fleet.entries[count:]
+    remaining = fleet.entries[count:]
     fleet.entries.clear()
     for number in range(count):
         await fleet.add_entry(number + 1)
-    fleet.entries.extend(later)
+    fleet.entries.extend(remaining)
     await asyncio.sleep(1.0)
--- a/tests/fleet/leaving.py
+++ b/tests/fleet/leaving.py
@@ -1,11 +1,11 @@
-"""What targets that leave, or ask for a back-off, may still get from each entry."""
+"""Checks of the requests that entries still send to targets that leave or ask for a back-off."""
 
 from declared_fleet import DeclaredFleet
 from limiting import Played
 from platform_standins import TargetStandIn, manifest
 
-DRAIN_S = 2.0  # after an entry has passed on that a target leaves
-BACKOFF_SLACK_S = 0.5  # after a target has asked for a back-off, for what is under way
+DRAIN_S = 2.0  # allowed after an entry has passed on that a target leaves
+BACKOFF_SLACK_S = 0.5  # for requests in flight when a target asks for a back-off
 BACKOFF_EXTRA = 2
 PLACES = ("hall", "room", "shed")
 
@@ -17,13 +17,15 @@
 
 
 def let_anybody_in(fleet: DeclaredFleet, version: int = 3) -> None:
-    """Have no route want a key: keys are not honoured for long without the store."""
+    """Make all routes accept requests without a key: keys soon expire without the store."""
     routes = [{**route, "AllowAnonymous": True} for route in manifest(version)["Routes"]]
     fleet.store.put("op", "config", manifest(version, Routes=routes))
 
 
-def require_left_alone(target: TargetStandIn, played: Played, target_id: str = "") -> None:
-    """Assert that no entry sent a target anything once it had long passed on that it leaves."""
+def assert_no_requests_after_leaving(
+    target: TargetStandIn, played: Played, target_id: str = ""
+) -> None:
+    """Assert that no entry sent a target requests `DRAIN_S` after passing on that it leaves."""
     target_id = target_id or target.target_id
     late = [
         (at, via)
@@ -35,14 +37,14 @@
     assert not late, f"{len(late)} requests reached {target_id}, the first at {late[0]}"
 
 
-def require_backoff(target: TargetStandIn, retry_after_s: float) -> None:
-    """Assert that each entry that was asked for a back-off sent hardly anything meanwhile."""
+def assert_backoff_kept(target: TargetStandIn, retry_after_s: float) -> None:
+    """Assert that each entry asked for a back-off sent at most `BACKOFF_EXTRA` requests in it."""
     arrived = [
         (at, request.headers.get("x-via", ""))
         for at, request in zip(target.seen_at, target.seen, strict=True)
     ]
-    for asked_at, via in target.turned_away:
-        since, until = asked_at + BACKOFF_SLACK_S, asked_at + retry_after_s
+    for rejected_at, via in target.turned_away:
+        since, until = rejected_at + BACKOFF_SLACK_S, rejected_at + retry_after_s
         count = sum(via == sender and since < at < until for at, sender in arrived)
         assert (
             count <= BACKOFF_EXTRA
--- a/tests/fleet/limiting.py
+++ b/tests/fleet/limiting.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet, and how the requests that reach a target keep to what it asks for."""
+"""Callers of a fleet, and checks that a target's requests stay within the limit that it sets."""
 
 import asyncio
 import random
@@ -10,8 +10,8 @@
 
 from lacewinggw.frontend.process import FrontendProcess
 
-NOTICE_S = 3.0  # what entries have from the first answer with a limit on
-TOLD_S = 0.5  # an entry is held to a limit so long after it has passed on an answer with it
+NOTICE_S = 3.0  # the time that entries have to apply a limit, from the first answer with it
+ANNOUNCED_S = 0.5  # the time that an entry has after it passed on an answer with the limit
 SPAN_S = 4.0
 EXCESS = 1.5
 EXTRA = 5
@@ -19,10 +19,13 @@
 
 @dataclass
 class Played:
-    """What callers got, and when each entry first passed on what a target says of itself."""
+    """The replies to callers, and when each entry first passed on a target's limit or leaving.
+
+    The times are by entry number and target id.
+    """
 
     replies: list[Reply] = field(default_factory=list)
-    told_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    announced_at: dict[tuple[str, str], float] = field(default_factory=dict)
     left_at: dict[tuple[str, str], float] = field(default_factory=dict)
     refused_after_s: list[float] = field(default_factory=list)
 
@@ -32,12 +35,12 @@
             self.refused_after_s.append(took_s)
         target = reply.headers.get("x-response-seal", "").removeprefix("seal-of-")
         if "server-limit" in reply.headers:
-            self.told_at.setdefault((str(entry), target), now())
+            self.announced_at.setdefault((str(entry), target), now())
         if "server-leaving" in reply.headers:
             self.left_at.setdefault((str(entry), target), now())
 
     def shares(self) -> dict[int, float]:
-        """Return the share of the replies by status."""
+        """Return the share of the replies with each status."""
         statuses = [reply.status for reply in self.replies]
         return {status: statuses.count(status) / len(statuses) for status in set(statuses)}
 
@@ -51,47 +54,48 @@
     played: Played | None = None,
     key: str = KEY,
 ) -> Played:
-    """Ask for some seconds at entries drawn from the seed; return when all is answered."""
+    """Send requests for some seconds to entries drawn from the seed; return when all have ended."""
     played = played or Played()
     rng = random.Random(seed)
 
-    async def ask() -> None:
+    async def send() -> None:
         entry = rng.randrange(len(fleet.entries))
         model = {"X_Model": "market"} if path.startswith("/report") else {}
         body = f"request {rng.random()}".encode()
-        asked_at = now()
+        sent_at = now()
         try:
             reply = await fleet.ask(
                 path, entry=entry, body=body, X_Via=str(entry), X_Key=key, **model
             )
         except OSError:
-            return  # that entry is away
-        played.note(entry, reply, now() - asked_at)
+            return  # that entry is down
+        played.note(entry, reply, now() - sent_at)
 
-    asked = []
+    sends = []
     end = now() + seconds
     while now() < end:
-        asked.append(asyncio.ensure_future(ask()))
+        sends.append(asyncio.ensure_future(send()))
         await asyncio.sleep(rng.expovariate(per_s))
-    await asyncio.gather(*asked)
+    await asyncio.gather(*sends)
     return played
 
 
 def name_limit(target: TargetStandIn, per_s: float | None) -> None:
-    """Have a target name a limit from now on, or none."""
+    """Make a target set a limit in its answers from now on, or none."""
     target.behaviour.limit_per_s = per_s
 
 
-def require_limit_kept(target: TargetStandIn, per_s: float, named_at: float, played: Played):
-    """Assert that a target got no more than it may in any span, from entries that were told."""
-    counted = [
+def assert_limit_kept(target: TargetStandIn, per_s: float, named_at: float, played: Played):
+    """Assert that entries which got a target's limit sent no more than allowed in any span."""
+    counted_at = [
         at
         for at, request in zip(target.seen_at, target.seen, strict=True)
         if at >= named_at + NOTICE_S
-        and at >= played.told_at.get((request.headers["x-via"], target.target_id), at) + TOLD_S
+        and at
+        >= played.announced_at.get((request.headers["x-via"], target.target_id), at) + ANNOUNCED_S
     ]
     allowed = EXCESS * per_s * SPAN_S + EXTRA
-    most = busiest_span(counted)
+    most = busiest_span(counted_at)
     assert most <= allowed, f"{most} requests in {SPAN_S} s at {per_s} a second"
 
 
@@ -107,22 +111,22 @@
 
 
 def rate_since(target: TargetStandIn, since: float) -> float:
-    """Return how many requests a second a target has got since a moment."""
+    """Return the rate of a target's requests since `since`, per second."""
     return sum(at >= since for at in target.seen_at) / (now() - since)
 
 
 async def add_limited_engines(fleet: DeclaredFleet, engines: int, limits: list[float]) -> None:
-    """Add engines with agents, of which the first ones name a limit each."""
+    """Add engines with agents; the first ones set one of `limits` each."""
     await add_engines(fleet, engines, pause_s=0.05, places=("hall", "room", "shed"))
     for number, per_s in enumerate(limits):
         name_limit(fleet.targets[f"engine{number}"], per_s)
 
 
-def limited(entry: FrontendProcess) -> int:
-    """Return how many targets name a limit, as an entry knows."""
-    wanted = "lacewinggw_targets_limited "
-    lines = [line for line in entry.metrics.render().splitlines() if line.startswith(wanted)]
-    return round(float(lines[0].removeprefix(wanted)))
+def count_limited(entry: FrontendProcess) -> int:
+    """Return how many targets have a limit in an entry's view."""
+    metric = "lacewinggw_targets_limited "
+    lines = [line for line in entry.metrics.render().splitlines() if line.startswith(metric)]
+    return round(float(lines[0].removeprefix(metric)))
 
 
 def now() -> float:
--- a/tests/fleet/test_nearby.py
+++ b/tests/fleet/test_nearby.py
@@ -1,4 +1,4 @@
-"""Which agents an entry hears: those of its place, and a few of each other."""
+"""The agents that an entry subscribes to: those of its place, and a few of each other."""
 
 from collections import Counter
 
@@ -8,13 +8,13 @@
 AGENTS = {f"10.2.{index % 3}.{index}": PLACES[index % 3] for index in range(36)}
 
 
-def test_all_of_the_place_and_a_few_of_each_other():
-    watched = choose_agents("entry-1", "hall", AGENTS)
-    counts = Counter(AGENTS[host] for host in watched)
+def test_all_agents_of_the_place_and_a_few_of_each_other():
+    chosen = choose_agents("entry-1", "hall", AGENTS)
+    counts = Counter(AGENTS[host] for host in chosen)
     assert counts == {"hall": 12, "room": AGENTS_PER_FAR_PLACE, "shed": AGENTS_PER_FAR_PLACE}
 
 
-def test_different_entries_hear_different_agents_of_other_places():
+def test_entries_subscribe_to_different_agents_of_other_places():
     far = Counter(
         host
         for number in range(45)
@@ -24,7 +24,7 @@
     assert len(far) == 24 and max(far.values()) <= 15
 
 
-def test_what_changes_elsewhere_changes_little():
+def test_a_lost_agent_changes_one_subscription():
     before = choose_agents("entry-1", "hall", AGENTS)
     without = {host: place for host, place in AGENTS.items() if host != min(before)}
     assert len(before - choose_agents("entry-1", "hall", without)) == 1
--- a/tests/fleet/test_punctuality.py
+++ b/tests/fleet/test_punctuality.py
@@ -1,4 +1,4 @@
-"""How long requests wait: those that can be on time, those that came back."""
+"""How long requests may wait: first attempts that can be on time, and retries."""
 
 import pytest
 
@@ -31,56 +31,56 @@
     assert long.wait_s < short.wait_s
 
 
-def test_one_that_came_back_is_late_and_waits_longer():
+def test_a_retry_is_late_and_waits_longer():
     wait = wait_budget(REPORT, ENGINE, 1000, elapsed_s=1.5, left_s=4.5)
     assert wait.is_late and wait.wait_s == 1.5
 
 
-def test_nobody_waits_for_more_than_half_of_what_is_left():
+def test_a_late_request_waits_for_at_most_half_of_its_time_left():
     assert wait_budget(REPORT, ENGINE, 1000, elapsed_s=5.0, left_s=1.0).wait_s == 0.5
 
 
 @pytest.mark.parametrize(
     ("left_s", "elapsed_s"), [(6.09, 0.0), (6.05, 0.0), (4.5, 1.59), (None, 0)]
 )
-def test_a_later_attempt_is_known_by_its_time_left(left_s, elapsed_s):
-    times = CallerTimeouts()
-    times.elapsed("report", 6.09)
-    assert times.elapsed("report", left_s) == pytest.approx(elapsed_s)
-
-
-def test_the_line_is_by_priority_then_the_newest_on_time_then_the_oldest_late():
-    line = WaitQueue()
-    late = line.add(1, is_late=True, until=9.0)
-    first = line.add(1, is_late=False, until=9.0)
-    second = line.add(1, is_late=False, until=9.0)
-    urgent = line.add(0, is_late=True, until=9.0)
-    later = line.add(1, is_late=True, until=9.0)
-    assert list(line.in_order()) == [urgent, second, first, late, later]
-    line.remove(first)
-    assert list(line.in_order()) == [urgent, second, late, later] and len(line) == 4
-
-
-def test_the_wait_expected_grows_with_those_ahead_and_the_gap_between_starts():
-    line = WaitQueue()
+def test_a_later_attempt_is_recognized_by_its_time_left(left_s, elapsed_s):
+    timeouts = CallerTimeouts()
+    timeouts.elapsed("report", 6.09)
+    assert timeouts.elapsed("report", left_s) == pytest.approx(elapsed_s)
+
+
+def test_the_queue_order_is_priority_then_newest_on_time_then_oldest_late():
+    queue = WaitQueue()
+    late = queue.add(1, is_late=True, until=9.0)
+    first = queue.add(1, is_late=False, until=9.0)
+    second = queue.add(1, is_late=False, until=9.0)
+    urgent = queue.add(0, is_late=True, until=9.0)
+    later = queue.add(1, is_late=True, until=9.0)
+    assert list(queue.in_order()) == [urgent, second, first, late, later]
+    queue.remove(first)
+    assert list(queue.in_order()) == [urgent, second, late, later] and len(queue) == 4
+
+
+def test_the_expected_wait_grows_with_requests_ahead_and_the_gap_between_starts():
+    queue = WaitQueue()
     for number in range(4):
-        line.add(1, is_late=True, until=9.0)
-        line.note_start(0.05 * number)
-    assert 0.0 < line.expected_wait(1, is_late=True) < 4 * 0.05
-    assert line.expected_wait(1, is_late=False) == 0.0  # the newest goes first
-    line.add(0, is_late=False, until=9.0)
-    assert line.expected_wait(1, is_late=False) > 0.0  # but those of more urgent routes
-    assert line.expected_wait(0, is_late=False) == 0.0
-
-
-def test_late_requests_wait_less_while_others_wait_in_vain():
-    line = WaitQueue()
-    assert line.late_share == 1.0
+        queue.add(1, is_late=True, until=9.0)
+        queue.note_start(0.05 * number)
+    assert 0.0 < queue.expected_wait(1, is_late=True) < 4 * 0.05
+    assert queue.expected_wait(1, is_late=False) == 0.0  # the newest goes first
+    queue.add(0, is_late=False, until=9.0)
+    assert queue.expected_wait(1, is_late=False) > 0.0  # behind requests of more urgent routes
+    assert queue.expected_wait(0, is_late=False) == 0.0
+
+
+def test_late_requests_wait_less_while_few_of_them_start():
+    queue = WaitQueue()
+    assert queue.late_share == 1.0
     for _ in range(20):
-        line.note_late_outcome(started=False)
-    starved = line.late_share
+        queue.note_late_outcome(started=False)
+    starved = queue.late_share
     assert starved < 0.2
     assert wait_budget(REPORT, ENGINE, 1000, 1.5, 4.5, starved).wait_s < 0.3
     for _ in range(20):
-        line.note_late_outcome(started=True)
-    assert line.late_share > 0.8
+        queue.note_late_outcome(started=True)
+    assert queue.late_share > 0.8
--- a/tests/fleet/test_slots.py
+++ b/tests/fleet/test_slots.py
@@ -1,4 +1,4 @@
-"""Leases on the slots of a target: who gets one, in which order, and when it ends."""
+"""Leases on the slots of a target: to which request, in which order, and until when."""
 
 import pytest
 
@@ -11,187 +11,195 @@
 from lacewinggw.decisions.targetload import LATE_SLOT_SHARE
 
 
-def wish(rank=1, is_late=False, wait_s=1.0, prefill_s=0.0):
+def slot_request(rank=1, is_late=False, wait_s=1.0, prefill_s=0.0):
     return SlotRequest(rank, is_late, wait_s, prefill_s)
 
 
 @pytest.fixture
-def ledger():
-    ledger = SlotAllocator(slots=2)
-    ledger.open()
-    return ledger
+def allocator():
+    allocator = SlotAllocator(slots=2)
+    allocator.open()
+    return allocator
 
 
-def fill(ledger, now=0.0):
-    for number in range(ledger.slots):
-        ledger.enqueue(1000 + number, wish(), now)
-    return ledger.grant(now)
+def fill_slots(allocator, now=0.0):
+    for number in range(allocator.slots):
+        allocator.enqueue(1000 + number, slot_request(), now)
+    return allocator.grant(now)
 
 
-def test_as_many_leases_as_slots_and_the_next_when_one_ends(ledger):
+def test_as_many_leases_as_slots_and_the_next_when_one_is_released(allocator):
     for lease in range(4):
-        ledger.enqueue(lease, wish(), 0.0)
-    given = ledger.grant(0.0)
-    assert len(given) == 2 and ledger.taken == 2 and ledger.waiting == 2
-    assert ledger.grant(0.1) == []
-    ledger.release(given[0])
-    assert len(ledger.grant(0.1)) == 1 and ledger.taken == 2
-
-
-def test_the_most_urgent_first_then_the_newest_that_can_be_on_time_then_the_oldest_late(ledger):
-    full = fill(ledger)
-    ledger.enqueue(1, wish(is_late=True), 0.0)
-    ledger.enqueue(2, wish(is_late=True), 0.0)
-    ledger.enqueue(3, wish(), 0.0)
-    ledger.enqueue(4, wish(), 0.0)
-    ledger.enqueue(5, wish(rank=0), 0.0)
+        allocator.enqueue(lease, slot_request(), 0.0)
+    given = allocator.grant(0.0)
+    assert len(given) == 2 and allocator.taken == 2 and allocator.waiting == 2
+    assert allocator.grant(0.1) == []
+    allocator.release(given[0])
+    assert len(allocator.grant(0.1)) == 1 and allocator.taken == 2
+
+
+def test_grants_are_by_rank_then_newest_on_time_then_oldest_late(allocator):
+    full = fill_slots(allocator)
+    allocator.enqueue(1, slot_request(is_late=True), 0.0)
+    allocator.enqueue(2, slot_request(is_late=True), 0.0)
+    allocator.enqueue(3, slot_request(), 0.0)
+    allocator.enqueue(4, slot_request(), 0.0)
+    allocator.enqueue(5, slot_request(rank=0), 0.0)
     for lease in full:
-        ledger.release(lease)
-    assert ledger.grant(0.1) == [5, 4]
-    ledger.slots = 9
-    assert ledger.grant(0.1) == [3, 1, 2]
+        allocator.release(lease)
+    assert allocator.grant(0.1) == [5, 4]
+    allocator.slots = 9
+    assert allocator.grant(0.1) == [3, 1, 2]
 
 
-def test_late_ones_leave_room_for_those_that_can_be_on_time():
-    ledger = SlotAllocator(slots=10)
-    ledger.open()
+def test_late_requests_leave_slots_for_those_that_can_be_on_time():
+    allocator = SlotAllocator(slots=10)
+    allocator.open()
     for lease in range(10):
-        ledger.enqueue(lease, wish(is_late=True), 0.0)
-    assert len(ledger.grant(0.0)) == 10 * LATE_SLOT_SHARE
-    ledger.enqueue(10, wish(), 0.0)
-    assert ledger.grant(0.0) == [10]
+        allocator.enqueue(lease, slot_request(is_late=True), 0.0)
+    assert len(allocator.grant(0.0)) == 10 * LATE_SLOT_SHARE
+    allocator.enqueue(10, slot_request(), 0.0)
+    assert allocator.grant(0.0) == [10]
 
 
-def test_who_waited_as_long_as_it_could_gets_nothing(ledger):
-    full = fill(ledger)
-    ledger.enqueue(1, wish(wait_s=0.2), 0.0)
-    ledger.release(full[0])
-    assert ledger.grant(0.3) == [] and ledger.waiting == 0
+def test_a_request_past_its_wait_is_dropped(allocator):
+    full = fill_slots(allocator)
+    allocator.enqueue(1, slot_request(wait_s=0.2), 0.0)
+    allocator.release(full[0])
+    assert allocator.grant(0.3) == [] and allocator.waiting == 0
 
 
-def test_prompts_start_as_they_can_be_read():
-    ledger = SlotAllocator(slots=8)
-    ledger.open()
+def test_starts_are_paced_by_prefill():
+    allocator = SlotAllocator(slots=8)
+    allocator.open()
     for lease in range(8):
-        ledger.enqueue(lease, wish(prefill_s=0.1), 0.0)
-    assert len(ledger.grant(0.0)) == 2  # the second one begins while the first is read
-    look_at = ledger.next_check_at(0.0)
+        allocator.enqueue(lease, slot_request(prefill_s=0.1), 0.0)
+    assert len(allocator.grant(0.0)) == 2  # the second starts during the prefill of the first
+    look_at = allocator.next_check_at(0.0)
     assert look_at is not None and 0.0 < look_at <= 0.2 - MAX_PREFILL_BACKLOG_S + 1e-9
-    assert len(ledger.grant(look_at + 0.001)) == 1
-    assert ledger.taken == 3
+    assert len(allocator.grant(look_at + 0.001)) == 1
+    assert allocator.taken == 3
 
 
-def test_nothing_is_given_while_the_target_begins_nothing(ledger):
-    full = fill(ledger)
-    ledger.enqueue(1, wish(), 0.0)
-    assert ledger.close() == [1] and ledger.waiting == 0
-    ledger.release(full[0])
-    assert ledger.grant(0.1) == []
+def test_nothing_is_granted_while_closed(allocator):
+    full = fill_slots(allocator)
+    allocator.enqueue(1, slot_request(), 0.0)
+    assert allocator.close() == [1] and allocator.waiting == 0
+    allocator.release(full[0])
+    assert allocator.grant(0.1) == []
 
 
-def test_requests_without_a_lease_take_room(ledger):
-    ledger.note_report(running=2, now=0.0)
-    ledger.enqueue(1, wish(), 0.0)
-    assert ledger.grant(0.0) == []
-    ledger.note_report(running=1, now=0.1)
-    assert ledger.grant(0.1) == [1] and ledger.taken == 2
+def test_requests_without_a_lease_occupy_slots(allocator):
+    allocator.note_report(running=2, now=0.0)
+    allocator.enqueue(1, slot_request(), 0.0)
+    assert allocator.grant(0.0) == []
+    allocator.note_report(running=1, now=0.1)
+    assert allocator.grant(0.1) == [1] and allocator.taken == 2
 
 
-def test_a_lease_that_does_not_show_at_the_target_yet_takes_its_slot(ledger):
-    fill(ledger)
-    ledger.note_report(running=0, now=REPORT_DELAY_S / 2)
-    ledger.enqueue(1, wish(), REPORT_DELAY_S / 2)
-    assert ledger.taken == 2 and ledger.grant(REPORT_DELAY_S / 2) == []
+def test_a_lease_not_yet_reported_by_the_target_keeps_its_slot(allocator):
+    fill_slots(allocator)
+    allocator.note_report(running=0, now=REPORT_DELAY_S / 2)
+    allocator.enqueue(1, slot_request(), REPORT_DELAY_S / 2)
+    assert allocator.taken == 2 and allocator.grant(REPORT_DELAY_S / 2) == []
 
 
-def test_leases_that_never_show_do_not_keep_their_slots(ledger):
-    # An entry that was frozen right after it got its leases never sent anything.
-    fill(ledger)
+def test_leases_never_reported_by_the_target_lose_their_slots(allocator):
+    # Guards against leases lost for good: an entry that froze right after it got its leases never
+    # sent a request for them.
+    fill_slots(allocator)
     now = 2 * REPORT_DELAY_S
-    ledger.note_report(running=0, now=now)
-    ledger.enqueue(1, wish(), now)
-    assert ledger.grant(now) == [1]
+    allocator.note_report(running=0, now=now)
+    allocator.enqueue(1, slot_request(), now)
+    assert allocator.grant(now) == [1]
 
 
 @pytest.mark.parametrize("running", [0, 1, 2, 5])
-def test_the_count_is_right_again_once_all_leases_have_ended(ledger, running):
-    full = fill(ledger)
-    ledger.note_report(running, now=2 * REPORT_DELAY_S)
+def test_the_count_is_correct_after_all_leases_have_ended(allocator, running):
+    full = fill_slots(allocator)
+    allocator.note_report(running, now=2 * REPORT_DELAY_S)
     for lease in full:
-        ledger.release(lease)
-        ledger.release(lease)  # once more changes nothing
-    ledger.note_report(0, now=3 * REPORT_DELAY_S)
-    assert ledger.taken == 0
-    assert len(fill(ledger, 3 * REPORT_DELAY_S)) == 2
+        allocator.release(lease)
+        allocator.release(lease)  # a second release has no effect
+    allocator.note_report(0, now=3 * REPORT_DELAY_S)
+    assert allocator.taken == 0
+    assert len(fill_slots(allocator, 3 * REPORT_DELAY_S)) == 2
 
 
-def start_one_after_the_other(ledger, gap_s, count=40):
-    """Have a request start at each step while one more waits all the time."""
-    running, now = fill(ledger), 0.0
-    ledger.enqueue(1, wish(wait_s=99.0), now)
+def start_at_intervals(allocator, gap_s, count=40):
+    """Start one request every `gap_s` seconds while another one waits throughout."""
+    running, now = fill_slots(allocator), 0.0
+    allocator.enqueue(1, slot_request(wait_s=99.0), now)
     for lease in range(2000, 2000 + count):
         now += gap_s
-        ledger.enqueue(lease, wish(wait_s=99.0), now)
-        ledger.release(running.pop(0))
-        running += ledger.grant(now)
-    ledger.release(1)
+        allocator.enqueue(lease, slot_request(wait_s=99.0), now)
+        allocator.release(running.pop(0))
+        running += allocator.grant(now)
+    allocator.release(1)
 
 
-def waiting_after(ledger, now, *wishes):
-    """Return which of the wishes still wait once all have come, the first one first."""
-    for lease, each in enumerate(wishes):
-        ledger.enqueue(lease, each, now)
-    dropped = set(ledger.drop_overtaken(now))
-    return [lease for lease in range(len(wishes)) if lease not in dropped]
+def waiting_after(allocator, now, *requests):
+    """Return the positions of those requests that still wait after all were queued in order."""
+    for lease, each in enumerate(requests):
+        allocator.enqueue(lease, each, now)
+    dropped = set(allocator.drop_overtaken(now))
+    return [lease for lease in range(len(requests)) if lease not in dropped]
 
 
 @pytest.fixture
 def busy():
-    """A ledger whose slots have been full, and fell free each 0.1 s."""
-    ledger = SlotAllocator(slots=2)
-    ledger.open()
-    start_one_after_the_other(ledger, 0.1)
-    return ledger
+    """An allocator with all slots taken, one of which became free every 0.1 s."""
+    allocator = SlotAllocator(slots=2)
+    allocator.open()
+    start_at_intervals(allocator, 0.1)
+    return allocator
 
 
-def test_who_is_overtaken_by_more_than_start_in_its_time_is_let_go(busy):
-    assert waiting_after(busy, 4.0, wish(wait_s=0.25), wish(wait_s=0.25), wish(wait_s=0.25)) == [
+def test_a_request_behind_more_than_can_start_in_its_time_is_dropped(busy):
+    assert waiting_after(
+        busy, 4.0, slot_request(wait_s=0.25), slot_request(wait_s=0.25), slot_request(wait_s=0.25)
+    ) == [
         1,
         2,
     ]
 
 
-def test_the_first_in_line_is_never_let_go(busy):
-    assert waiting_after(busy, 4.0, wish(wait_s=0.01)) == [0]
+def test_the_first_in_the_queue_is_never_dropped(busy):
+    assert waiting_after(busy, 4.0, slot_request(wait_s=0.01)) == [0]
 
 
-def test_late_ones_wait_behind_others_while_they_start_in_their_time(busy):
-    late = wish(is_late=True, wait_s=0.35)
+def test_late_requests_stay_queued_while_they_would_start_in_time(busy):
+    late = slot_request(is_late=True, wait_s=0.35)
     assert waiting_after(busy, 4.0, late, late) == [0, 1]
-    busy.enqueue(9, wish(wait_s=0.25), 4.0)
+    busy.enqueue(9, slot_request(wait_s=0.25), 4.0)
     assert busy.drop_overtaken(4.0) == []
-    busy.enqueue(10, wish(wait_s=0.25), 4.0)
+    busy.enqueue(10, slot_request(wait_s=0.25), 4.0)
     assert busy.drop_overtaken(4.0) == [1]
 
 
-def test_a_pause_in_demand_says_nothing_of_how_fast_slots_fall_free(busy):
-    """Clumps of a calm hour were refused: the pace was taken from the start before the pause."""
+def test_a_pause_in_demand_does_not_count_as_a_gap_between_starts(busy):
+    """Guards against refusals of small bursts at low load.
+
+    The gap between starts was measured from the last start before a pause in demand.
+    """
     now = 4.0
     for lease in range(3000, 3030):
         now += 5.0
-        busy.enqueue(lease, wish(wait_s=99.0), now)
+        busy.enqueue(lease, slot_request(wait_s=99.0), now)
         busy.release(next(iter(busy._leases)))
         assert busy.grant(now) == [lease]
-    assert waiting_after(busy, now, *[wish(wait_s=0.25)] * 6) == list(range(6))
+    assert waiting_after(busy, now, *[slot_request(wait_s=0.25)] * 6) == list(range(6))
 
 
-def test_a_line_that_moves_fast_may_be_long():
-    ledger = SlotAllocator(slots=2)
-    ledger.open()
-    fill(ledger)
-    assert waiting_after(ledger, 0.0, *[wish(wait_s=0.25)] * 30) == list(range(30))
+def test_the_queue_may_be_long_before_any_gap_is_measured():
+    allocator = SlotAllocator(slots=2)
+    allocator.open()
+    fill_slots(allocator)
+    assert waiting_after(allocator, 0.0, *[slot_request(wait_s=0.25)] * 30) == list(range(30))
 
 
-def test_one_that_waited_elsewhere_keeps_its_age(busy):
+def test_a_request_that_waited_elsewhere_keeps_its_age(busy):
     older = SlotRequest(1, False, 0.25, waited_s=0.1)
-    assert waiting_after(busy, 4.0, wish(wait_s=0.25), wish(wait_s=0.25), older) == [0, 1]
+    assert waiting_after(
+        busy, 4.0, slot_request(wait_s=0.25), slot_request(wait_s=0.25), older
+    ) == [0, 1]
--- a/tests/fleet/test_targetbackoff.py
+++ b/tests/fleet/test_targetbackoff.py
@@ -1,4 +1,4 @@
-"""The back-off that targets ask for: how long it holds, and how requests come back after it."""
+"""Back-off from targets: how long it lasts, and how requests resume after it."""
 
 import random
 
@@ -17,7 +17,7 @@
 YEAR_S = 31_536_000.0
 
 
-def test_the_longest_back_off_that_is_known_holds():
+def test_the_latest_end_of_several_back_offs_applies():
     backoff = RequestedBackoff()
     backoff.note_requested(3.0, now=10.0, jitter=0.0)
     backoff.note_requested(0.5, now=10.1, jitter=1.0)
@@ -27,7 +27,7 @@
     assert backoff.is_over(14.0 + YEAR_S + MAX_JITTER_S)
 
 
-def test_requests_come_back_one_by_one_and_then_twice_as_many():
+def test_concurrent_trials_double_after_a_back_off():
     backoff = RequestedBackoff()
     backoff.note_requested(1.0, now=0.0, jitter=0.0)
     at_a_time = []
@@ -44,7 +44,7 @@
     assert backoff.has_trial() and not backoff.begin_trial()
 
 
-def test_what_was_sent_before_the_back_off_and_ends_after_it_shows_nothing():
+def test_a_request_sent_before_the_back_off_is_no_trial():
     backoff = RequestedBackoff()
     backoff.note_requested(1.0, now=5.0, jitter=0.0)
     backoff.note_accepted(sent_at=4.9, slots=4)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_history_lets_a_request_into_a_back_off_or_leaves_it_for_good(seed):
+def test_no_sequence_sends_during_a_back_off_or_blocks_the_target_for_good(seed):
     rng, backoff = random.Random(seed), RequestedBackoff()
     now, bound, least, sent = 0.0, 0.0, 0.0, []
     for _ in range(400):
@@ -90,7 +90,7 @@
     return pool
 
 
-def test_a_back_off_holds_while_the_target_is_off_the_list_and_back():
+def test_a_back_off_outlasts_a_target_leaving_and_rejoining_the_list():
     pool = pool_of("a")
     load = pool.loads["a"]
     pool.note_backoff(load, 3.0, now=0.0)
@@ -102,7 +102,7 @@
     assert pool.choose(pool.eligible(TargetRequirements("desk")), now=3.4) is not None
 
 
-def test_a_new_start_under_the_same_name_is_used_at_once():
+def test_a_restarted_target_is_used_at_once():
     pool = pool_of("a", born_ms=1)
     pool.note_backoff(pool.loads["a/1"], YEAR_S, now=0.0)
     newer = TargetEntry("a", "desk", "a:80", "hall", slots=2, born_ms=2)
@@ -110,7 +110,7 @@
     assert pool.choose(pool.eligible(TargetRequirements("desk")), now=0.1) is not None
 
 
-def test_what_is_kept_of_targets_off_the_list_is_bounded():
+def test_the_state_kept_for_unlisted_targets_is_bounded():
     pool = pool_of("a")
     pool.note_backoff(pool.loads["a"], 3.0, now=0.0)
     for number in range(3000):
@@ -119,7 +119,7 @@
     assert len(pool._unlisted) <= 1000
 
 
-def test_a_pause_doubles_with_refusals_and_begins_anew_with_what_is_taken():
+def test_the_pause_doubles_with_refusals_and_is_reset_by_an_accepted_request():
     pause = RefusalBackoff()
     pauses = [pause.note_refused(sent_at=float(at), now=at + 0.1) for at in range(7)]
     assert pauses == [0.05, 0.1, 0.2, 0.4, 0.8, 0.8, 0.8]
@@ -127,7 +127,7 @@
     assert pause.note_refused(sent_at=8.0, now=8.1) == 0.05
 
 
-def test_requests_refused_together_count_once():
+def test_concurrent_refusals_count_once():
     pause = RefusalBackoff()
     pauses = [pause.note_refused(sent_at=0.0, now=0.1 + number / 100) for number in range(5)]
     assert pauses == [0.05] * 5
--- a/tests/fleet/test_targetrate.py
+++ b/tests/fleet/test_targetrate.py
@@ -1,4 +1,4 @@
-"""What is believed of a target's limit, and what of it each entry may send."""
+"""An entry's view of a target's rate limit, and the share of it that each entry may send."""
 
 import asyncio
 import math
@@ -28,7 +28,7 @@
 from lacewinggw.metrics import Metrics
 
 
-def test_a_limit_is_new_once_and_when_it_changes():
+def test_a_limit_counts_as_changed_once_and_with_each_new_value():
     rate = TargetRate()
     assert not rate.note_answer(None, sent_at=0.0, now=0.1)
     assert rate.note_answer(1.5, sent_at=0.2, now=0.3)
@@ -37,7 +37,7 @@
     assert rate.per_s == 2.0
 
 
-def test_an_answer_without_a_limit_ends_it_unless_it_was_asked_for_before():
+def test_an_answer_without_a_limit_ends_it_unless_its_request_was_sent_before():
     rate = TargetRate()
     rate.note_answer(1.5, sent_at=0.0, now=1.0)
     assert not rate.note_answer(None, sent_at=0.9, now=1.1)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "per_s"),
+    ("headers", "per_s"),
     [
         ({"server-limit": "1.9"}, 1.9),
         ({"server-limit": "0"}, 0.0),
@@ -59,11 +59,11 @@
         ({}, None),
     ],
 )
-def test_what_cannot_be_read_as_a_limit_counts_as_none(said, per_s):
-    assert PlatformHeads().read_answer(200, said).limit_per_s == per_s
+def test_a_malformed_limit_counts_as_none(headers, per_s):
+    assert PlatformHeads().read_answer(200, headers).limit_per_s == per_s
 
 
-def test_an_update_counts_if_it_is_newer_and_not_just_by_its_way():
+def test_an_update_counts_only_if_newer_by_more_than_its_delay():
     rate = TargetRate()
     rate.note_answer(1.5, sent_at=0.0, now=1.0)
     assert not rate.note_update(None, seen_at=0.9, source=LimitSource.NEAR)
@@ -73,7 +73,7 @@
     assert (rate.per_s, rate.source) == (None, LimitSource.NEAR)
 
 
-def test_an_allowance_saves_one_request_and_starts_with_none():
+def test_an_allowance_accumulates_one_request_and_starts_empty():
     allowance = Allowance(0.5, filled_at=10.0)
     assert allowance.opens_at(11.0) == pytest.approx(12.0)
     assert not allowance.is_open(11.9)
@@ -95,21 +95,21 @@
 
 @pytest.mark.parametrize("count", [1, 2, 8, 42, 98, 870])
 @pytest.mark.parametrize("per_s", [0.3, 1.0, 1.9, 7.5, 60.0])
-def test_the_shares_of_all_entries_are_the_limit(count, per_s):
+def test_the_shares_of_all_entries_add_up_to_the_limit(count, per_s):
     entries = entries_of(count)
     shares = [entry_share(each.host, "target", "place-1", per_s, entries) for each in entries]
     assert sum(shares) == pytest.approx(per_s)
     assert sum(share > 0 for share in shares) <= MIN_HOLDERS + HOLDERS_PER_RATE * per_s
 
 
-def test_entries_of_the_targets_place_come_first():
+def test_entries_of_the_targets_place_are_preferred():
     entries = entries_of(30)
     holders = choose_holders("target", "place-1", 2.0, entries)
     places = {each.host: each.place for each in entries}
     assert [places[host] for host in holders] == ["place-1"] * len(holders)
 
 
-def test_a_target_that_takes_nothing_is_asked_now_and_then_whether_it_does_again():
+def test_a_target_with_limit_zero_still_gets_probe_requests():
     entries = entries_of(8)
     shares = [entry_share(each.host, "target", "place-1", 0.0, entries) for each in entries]
     assert 0.0 < sum(shares) <= MIN_RATE_PER_S
@@ -118,8 +118,10 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("count", [8, 42, 98])
 @pytest.mark.parametrize("per_s", [0.0, 0.5, 1.0, 1.9, 8.0, 30.0])
-def test_a_burst_after_a_pause_stays_within_the_limit_and_what_was_saved(count, per_s, seed):
-    """Entries join and leave meanwhile, and take part in the shares from then on."""
+def test_a_burst_after_a_pause_stays_within_the_limit_and_the_accumulated_requests(
+    count, per_s, seed
+):
+    """Entries join and leave during the run, and the shares are recomputed each time."""
     rng = random.Random(f"{seed} {count} {per_s}")
     entries = entries_of(count)
     allowances: dict[str, Allowance] = {}
@@ -141,8 +143,11 @@
     assert busiest_span(sent) <= EXCESS * per_s * SPAN_S + EXTRA
 
 
-def target_rates(told: list[float]) -> tuple[TargetRates, TargetLoad]:
-    """Return the limits as an entry keeps them, and one target; `told` gets when it has news."""
+def make_target_rates(update_times: list[float]) -> tuple[TargetRates, TargetLoad]:
+    """Return an entry's target limits and one target.
+
+    `update_times` receives the time of each change that the entry would send to others at once.
+    """
     pool = TargetPool("hall", EjectionRules(), random.Random(1))
     entry = TargetEntry("desk", "desk", "10.3.0.1:8080", "hall")
     pool.sync({entry.target: entry})
@@ -152,7 +157,7 @@
         LocalEntry("entry-0", "hall"),
         lambda: [PeerEntry("entry-0", "hall", "10.1.0.1:7700")],
         lambda: False,
-        lambda: told.append(now()),
+        lambda: update_times.append(now()),
         now,
         Metrics(),
     )
@@ -160,21 +165,21 @@
 
 
 @pytest.mark.looptime
-async def test_a_limit_that_changes_with_each_answer_is_not_told_with_each():
-    told: list[float] = []
-    rates, load = target_rates(told)
+async def test_a_limit_that_changes_with_each_answer_is_not_sent_with_each():
+    update_times: list[float] = []
+    rates, load = make_target_rates(update_times)
     for number in range(50):
         rates.note_answer(load, AnswerFacts("a", False, True, limit_per_s=5.0 + number), 0.0)
-    assert len(told) == 1
+    assert len(update_times) == 1
     assert load.allowance is not None and load.allowance.share_per_s == 54.0
     await asyncio.sleep(0.1)
     rates.note_answer(load, AnswerFacts("a", False, True), asyncio.get_running_loop().time())
-    assert len(told) == 2 and load.allowance is None
+    assert len(update_times) == 2 and load.allowance is None
 
 
 @pytest.mark.looptime
-async def test_an_answer_that_the_target_has_not_marked_ends_no_limit():
-    rates, load = target_rates([])
+async def test_an_answer_without_the_targets_seal_ends_no_limit():
+    rates, load = make_target_rates([])
     rates.note_answer(load, AnswerFacts("a", False, True, limit_per_s=5.0), 0.0)
     await asyncio.sleep(0.1)
     rates.note_answer(load, AnswerFacts("a", True, False), asyncio.get_running_loop().time())
--- a/tests/fleet/test_targets_asking_for_backoff.py
+++ b/tests/fleet/test_targets_asking_for_backoff.py
@@ -1,38 +1,39 @@
-"""Targets that turn requests away and ask for a back-off are left alone for so long."""
+"""Targets that reject requests and ask for a back-off get no requests during it."""
 
 import asyncio
 
 import pytest
 from declared_fleet import running_fleet
-from leaving import add_entries, require_backoff, require_left_alone
+from leaving import add_entries, assert_backoff_kept, assert_no_requests_after_leaving
 from limiting import name_limit, now, play, rate_since
 
 pytestmark = pytest.mark.looptime
 
 BACKOFF_S = 3.0
-OBJECTIVE_S = 0.4  # of the routes that the stand-ins declare
-RETRY_SHARE = 0.2  # of the requests, that operators allow to be tried again
-ALARMING_SHARE = 0.1  # of the requests not served, above which operators are alarmed
+OBJECTIVE_S = 0.4  # of the declared routes
+RETRY_SHARE = 0.2  # of the requests: the retries that operators allow
+ALARMING_SHARE = 0.1  # of the requests not served: above it operators get an alarm
 
 
-# Overloaded engines that asked for three seconds were asked again after a twentieth of one.
-async def test_a_target_that_asks_for_a_back_off_gets_it_from_the_entry_that_it_told():
+# Guards against ignored back-offs: overloaded engines that asked for three seconds were sent
+# requests again after a twentieth of a second.
+async def test_an_entry_that_is_asked_for_a_back_off_keeps_it():
     async with running_fleet(desks=0, engines=6, entries=0) as fleet:
         await add_entries(fleet, 3)
         for name in list(fleet.targets):
             await fleet.add_agent(name)
         await asyncio.sleep(2.0)
-        backed_off = [fleet.targets[f"engine{number}"] for number in range(2)]
-        for target in backed_off:
+        overloaded = [fleet.targets[f"engine{number}"] for number in range(2)]
+        for target in overloaded:
             target.behaviour.retry_after, target.behaviour.shed_share = "3", 0.95
         await play(fleet, seconds=8.0, per_s=60.0)
-        for target in backed_off:
-            require_backoff(target, BACKOFF_S)
+        for target in overloaded:
+            assert_backoff_kept(target, BACKOFF_S)
 
 
 @pytest.mark.parametrize("entries", [1, 24])
 @pytest.mark.parametrize(("path", "kind"), [("/tally/1", "desk"), ("/report/1", "engine")])
-async def test_where_all_targets_want_a_back_off_callers_are_told_at_once_when_to_return(
+async def test_callers_are_refused_at_once_with_a_retry_time_when_all_targets_back_off(
     entries, path, kind
 ):
     async with running_fleet(desks=2, engines=2, entries=0) as fleet:
@@ -46,17 +47,17 @@
             target.behaviour.retry_after, target.behaviour.shed_share = "3", 1.0
         played = await play(fleet, seconds=7.0, per_s=20.0 if entries == 1 else 120.0, path=path)
         for target in targets:
-            require_backoff(target, BACKOFF_S)
+            assert_backoff_kept(target, BACKOFF_S)
         assert played.shares() == {503: 1.0}
-        # Who comes shortly before its end waits for it, while that can still be on time.
-        held = sorted(played.refused_after_s)
-        assert held[-1] <= OBJECTIVE_S
-        assert held[int(len(held) * (1.0 - OBJECTIVE_S / BACKOFF_S))] <= 0.03
-        later = [float(reply.headers["retry-after"]) for reply in played.replies]
-        assert max(later) > 2.0 and min(later) > 0.0
+        # A request that arrives shortly before the end waits for it if it can still be on time.
+        refused_after_s = sorted(played.refused_after_s)
+        assert refused_after_s[-1] <= OBJECTIVE_S
+        assert refused_after_s[int(len(refused_after_s) * (1.0 - OBJECTIVE_S / BACKOFF_S))] <= 0.03
+        retry_after_s = [float(reply.headers["retry-after"]) for reply in played.replies]
+        assert max(retry_after_s) > 2.0 and min(retry_after_s) > 0.0
 
 
-async def test_a_target_that_was_left_alone_is_used_again_but_not_by_all_at_once():
+async def test_requests_resume_gradually_after_a_back_off():
     async with running_fleet(desks=1, engines=0, entries=0) as fleet:
         await add_entries(fleet, 3)
         await asyncio.sleep(1.0)
@@ -65,13 +66,13 @@
         desk.behaviour.pause_s = 0.05
         await play(fleet, seconds=0.5, per_s=40.0, path="/tally/1")
         desk.behaviour.shed_share = 0.0
-        rested_at = max(at for at, _ in desk.turned_away)
-        await asyncio.sleep(rested_at + 1.0 - now())
+        backoff_began_at = max(at for at, _ in desk.turned_away)
+        await asyncio.sleep(backoff_began_at + 1.0 - now())
         played = await play(fleet, seconds=3.0, per_s=60.0, path="/tally/1")
-        back = [at for at in desk.seen_at if at > rested_at + 0.5]
-        at_first = sum(at <= back[0] + 0.04 for at in back)
+        resumed = [at for at in desk.seen_at if at > backoff_began_at + 0.5]
+        at_first = sum(at <= resumed[0] + 0.04 for at in resumed)
         assert at_first <= len(fleet.entries)
-        assert rate_since(desk, rested_at + 2.5) >= 40.0
+        assert rate_since(desk, backoff_began_at + 2.5) >= 40.0
         assert played.shares()[200] >= 0.7
 
 
@@ -85,13 +86,13 @@
         first = await play(fleet, seconds=3.0, per_s=40.0, path="/tally/1")
         desk.behaviour.leaving = True
         played = await play(fleet, seconds=5.0, per_s=40.0, path="/tally/1", seed=2)
-        require_backoff(desk, 1.5)
-        require_left_alone(desk, played)
+        assert_backoff_kept(desk, 1.5)
+        assert_no_requests_after_leaving(desk, played)
         assert first.shares()[200] >= 0.95 and played.shares()[200] >= 0.95
 
 
 @pytest.mark.parametrize("asked", ["-1", "nan", "soon", ""])
-async def test_a_time_that_cannot_be_read_asks_for_nothing(asked):
+async def test_a_malformed_back_off_is_ignored(asked):
     async with running_fleet(desks=1, engines=0) as fleet:
         desk = fleet.targets["desk0"]
         desk.behaviour.retry_after, desk.behaviour.shed = asked, 1
@@ -100,12 +101,15 @@
         assert (await fleet.ask("/tally/1")).status == 200
 
 
-# Two of six targets turned nearly all away, and a fifth of the callers were refused for it.
+# Guards against an exhausted retry budget: two of six targets rejected nearly all requests, and a
+# fifth of the callers were refused because of it.
 @pytest.mark.parametrize(
     ("path", "kind", "per_s"), [("/report/1", "engine", 90.0), ("/tally/1", "desk", 250.0)]
 )
 @pytest.mark.parametrize("seed", [1, 2])
-async def test_targets_that_turn_requests_away_do_not_use_up_the_retries(path, kind, per_s, seed):
+async def test_targets_that_reject_requests_do_not_exhaust_the_retry_budget(
+    path, kind, per_s, seed
+):
     async with running_fleet(
         desks=6 * (kind == "desk"), engines=6 * (kind == "engine"), entries=0
     ) as fleet:
@@ -125,14 +129,14 @@
         for target in shedding:
             target.behaviour.shed_share = 0.0
         await asyncio.sleep(1.0)
-        well_at = now()
+        recovered_at = now()
         await play(fleet, seconds=2.0, per_s=per_s, path=path, seed=seed)
         for target in shedding:
-            assert rate_since(target, well_at) >= 0.5 * per_s / len(fleet.targets)
+            assert rate_since(target, recovered_at) >= 0.5 * per_s / len(fleet.targets)
 
 
-async def test_plain_targets_asked_for_twice_what_they_can_do_are_kept_busy():
-    """Pauses after refusals must not leave room unused: entries meet at full targets."""
+async def test_plain_targets_at_twice_their_capacity_stay_busy():
+    """Pauses after refusals must not leave slots unused: several entries choose the same target."""
     async with running_fleet(desks=3, engines=0, entries=0) as fleet:
         await add_entries(fleet, 8)
         for target in fleet.targets.values():
--- a/tests/fleet/test_targets_closing_soak.py
+++ b/tests/fleet/test_targets_closing_soak.py
@@ -1,4 +1,4 @@
-"""Seeded runs: targets leave, want a back-off or limit their rate while much else fails."""
+"""Seeded runs: targets leave, ask for a back-off or limit their rate during other failures."""
 
 import asyncio
 import os
@@ -6,7 +6,13 @@
 
 import pytest
 from declared_fleet import DeclaredFleet, running_fleet
-from leaving import PLACES, add_entries, let_anybody_in, require_backoff, require_left_alone
+from leaving import (
+    PLACES,
+    add_entries,
+    assert_backoff_kept,
+    assert_no_requests_after_leaving,
+    let_anybody_in,
+)
 from limiting import Played, name_limit, now, play
 from platform_standins import DESK, LLM, TargetStandIn, target_row
 
@@ -19,8 +25,8 @@
 BACKOFFS_S = (0.8, 2.0, 4.0)
 
 
-class Troubles:
-    """Draws what befalls a fleet; a start of an entry is noted, as what it knew is gone with it."""
+class FailureInjector:
+    """Injects random failures into a fleet; the checks drop what a restarted entry had received."""
 
     def __init__(self, fleet: DeclaredFleet, kind: str, rng: random.Random, played: Played) -> None:
         self.fleet, self.kind, self.rng, self.played = fleet, kind, rng, played
@@ -31,18 +37,18 @@
         end = now() + seconds
         while now() < end:
             await asyncio.sleep(self.rng.expovariate(1.4))
-            trouble = self.rng.choice(
+            inject = self.rng.choice(
                 [
                     self.leave,
                     self.back_off,
                     self.back_off,
                     self.recover,
                     self.limit,
-                    self.lose_store,
+                    self.fail_store,
                 ]
-                + [self.restart_entry, self.lose_row, self.start_anew]
+                + [self.restart_entry, self.lose_row, self.restart_target]
             )
-            await trouble()
+            await inject()
 
     def draw(self) -> TargetStandIn:
         return self.fleet.targets[f"{self.kind}{self.rng.randrange(len(self.fleet.targets))}"]
@@ -62,7 +68,7 @@
     async def limit(self) -> None:
         name_limit(self.draw(), self.rng.choice([None, 1.0, 6.0]))
 
-    async def lose_store(self) -> None:
+    async def fail_store(self) -> None:
         faults = self.fleet.store.faults
         faults.outage = self.rng.choice([Outage.NONE, Outage.HANG, Outage.REFUSE, Outage.CUT])
 
@@ -70,17 +76,19 @@
         number = self.rng.randrange(len(self.fleet.entries))
         entry = self.fleet.entries[number]
         await entry.close()
-        self.forget(str(number))
+        self.drop_history(str(number))
         place = PLACES[number % len(PLACES)]
-        anew = await self.fleet.add_entry(number + 1, place)
-        self.fleet.entries.remove(anew)
-        self.fleet.entries[number] = anew
-        self.forget(str(number))
+        restarted = await self.fleet.add_entry(number + 1, place)
+        self.fleet.entries.remove(restarted)
+        self.fleet.entries[number] = restarted
+        self.drop_history(str(number))
 
-    def forget(self, via: str) -> None:
+    def drop_history(self, via: str) -> None:
         self.played.left_at = {key: at for key, at in self.played.left_at.items() if key[0] != via}
         for target in self.fleet.targets.values():
-            target.turned_away = [told for told in target.turned_away if told[1] != via]
+            target.turned_away = [
+                rejection for rejection in target.turned_away if rejection[1] != via
+            ]
 
     async def lose_row(self) -> None:
         target = self.draw()
@@ -92,8 +100,8 @@
         row = target_row(self.service, target.address, born=target.born_ms)
         self.fleet.store.put("servers", target.target_id, row)
 
-    async def start_anew(self) -> None:
-        """Start again under a name of its own, as targets do; what was asked before is over."""
+    async def restart_target(self) -> None:
+        """Crash a target, which restarts under a new id; its earlier requests to entries expire."""
         target = self.draw()
         if target.behaviour.leaving or target.behaviour.shed_share:
             return
@@ -101,7 +109,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_no_mix_of_troubles_lets_requests_reach_targets_that_are_closed(seed):
+async def test_no_mix_of_failures_lets_requests_reach_closed_targets(seed):
     rng = random.Random(seed)
     kind = rng.choice(["desk", "engine"])
     count = rng.randint(1, 5)
@@ -115,23 +123,23 @@
         let_anybody_in(fleet)
         await asyncio.sleep(2.0)
         played = Played()
-        troubles = asyncio.ensure_future(Troubles(fleet, kind, rng, played).run(PLAY_S))
+        failures = asyncio.ensure_future(FailureInjector(fleet, kind, rng, played).run(PLAY_S))
         path = "/tally/1" if kind == "desk" else "/report/1"
         await play(fleet, PLAY_S, per_s=50.0, path=path, seed=seed, played=played, key="")
-        await troubles
+        await failures
         for target in fleet.targets.values():
-            for start in {request.headers["x-expected-instance"] for request in target.seen}:
-                require_left_alone(target, played, start)
+            for incarnation in {request.headers["x-expected-instance"] for request in target.seen}:
+                assert_no_requests_after_leaving(target, played, incarnation)
             if target.behaviour.retry_after is not None:
-                require_backoff(target, float(target.behaviour.retry_after))
-        # A target that ends under a request which may not be repeated leaves its outcome unknown.
+                assert_backoff_kept(target, float(target.behaviour.retry_after))
+        # If a target crashes under a request that may not be repeated, its outcome is unknown.
         ended = any(target.ended_at for target in fleet.targets.values())
         allowed = {200, 502, 503} if ended else {200, 503}
         assert {reply.status for reply in played.replies if reply.whole} <= allowed
 
 
 @pytest.mark.parametrize("entries", [1, 8])
-async def test_targets_of_two_services_close_at_once_while_the_store_is_away(entries):
+async def test_targets_of_two_services_close_while_the_store_is_down(entries):
     async with running_fleet(desks=3, engines=6, entries=0) as fleet:
         await add_entries(fleet, entries)
         for number in range(6):
@@ -150,6 +158,6 @@
             play(fleet, 5.0, per_s=40.0, path="/report/1", seed=2, played=played, key=""),
         )
         for target in fleet.targets.values():
-            require_left_alone(target, played)
-            require_backoff(target, 3.0)
+            assert_no_requests_after_leaving(target, played)
+            assert_backoff_kept(target, 3.0)
         assert played.shares() == {200: 1.0}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Account limits split over entries: the split itself, and whole entries on virtual time."""
+"""Account limits split over entries: the split itself, and running entries on virtual time."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 BUYERS = Account("buyers")
 
 
-def test_the_shares_add_up_and_follow_demand() -> None:
+def test_shares_add_up_and_follow_demand() -> None:
     a, b, c = HostId("a"), HostId("b"), HostId("c")
     assert split_limit(9.0, {a: 0.0, b: 0.0, c: 0.0}) == pytest.approx({a: 3, b: 3, c: 3})
     assert split_limit(10.0, {a: 2.0, b: 20.0}) == pytest.approx({a: 2, b: 8})
@@ -44,22 +44,22 @@
         assert min(shares.values()) > 0
 
 
-def test_each_refused_caller_is_told_a_later_moment() -> None:
+def test_each_refusal_gets_a_later_retry_time() -> None:
     bucket = TokenBucket(rate=10.0)
-    told = [bucket.retry_after_s() for _ in range(5)]
-    assert told == sorted(told)
-    assert told[-1] == pytest.approx(0.5)
+    retry_times = [bucket.retry_after_s() for _ in range(5)]
+    assert retry_times == sorted(retry_times)
+    assert retry_times[-1] == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize("text", ["a:t:1", "a:t:0:1", "a:t:1:x", "a:t:nan:1", "a:t:1:1:0"])
-def test_a_malformed_account_is_refused(text: str) -> None:
+def test_a_malformed_account_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         AccountDeclaration.parse(text)
 
 
 @dataclass
 class Entries:
-    """Some entries on an in-memory network, with one list of members."""
+    """Entries on an in-memory network that share one list of members."""
 
     limits: list[AccountLimits]
     nodes: list[PeerNode]
@@ -102,7 +102,7 @@
 
 
 async def offer(entries: Sequence[AccountLimits], rates: Sequence[float], seconds: float) -> float:
-    """Offer requests at each entry at its own rate; return how many a second were admitted."""
+    """Offer requests at each entry at its own rate; return the total admitted rate per second."""
     loop = asyncio.get_running_loop()
     admitted = 0
 
@@ -175,7 +175,7 @@
         assert isinstance(limits.admit(BUYERS, Priority.URGENT, now), AccountAdmission)
 
 
-async def test_leaving_entries_are_not_told_to_callers() -> None:
+async def test_leaving_entries_are_not_assigned_to_accounts() -> None:
     async with make_entries(4) as entries:
         chosen = entries.limits[0].entries_of(BUYERS)
         at = next(n for n, each in enumerate(entries.members) if each.host == chosen[0].host)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""The agent's book of runs, and what entries make of claims and errors."""
+"""The agent's registry of runs, and the decisions of entries on claims and errors."""
 
 import random
 
@@ -48,74 +48,74 @@
 from lacewinggw.generated.messages.ttypes import Standing
 from lacewinggw.ids import Incarnation
 
-MINE = Incarnation("mine")
+OWN = Incarnation("mine")
 
 
-def make_book(incarnation: str = MINE) -> RunRegistry:
+def make_registry(incarnation: str = OWN) -> RunRegistry:
     return RunRegistry(Incarnation(incarnation), random.Random(1))
 
 
-def test_a_reservation_is_good_once() -> None:
-    book = make_book()
-    nonce = book.reserve(5.0, 0.0)
-    assert book.take(nonce, 1.0, True) == AcceptedRun()
-    assert book.take(nonce, 1.0, True) == AlreadyTaken(RunState.TAKEN)
+def test_a_reservation_can_be_taken_once() -> None:
+    registry = make_registry()
+    nonce = registry.reserve(5.0, 0.0)
+    assert registry.take(nonce, 1.0, True) == AcceptedRun()
+    assert registry.take(nonce, 1.0, True) == AlreadyTaken(RunState.TAKEN)
 
 
-def test_a_reservation_lapses_by_the_agents_own_clock() -> None:
-    book = make_book()
-    nonce = book.reserve(5.0, 0.0)
-    assert book.take(nonce, 5.0, True) == Rejected(RejectionCause.LAPSED)
+def test_a_reservation_expires_by_the_agents_own_clock() -> None:
+    registry = make_registry()
+    nonce = registry.reserve(5.0, 0.0)
+    assert registry.take(nonce, 5.0, True) == Rejected(RejectionCause.LAPSED)
 
 
 def test_a_withdrawn_run_never_starts() -> None:
-    book = make_book()
-    nonce = book.reserve(5.0, 0.0)
-    assert book.withdraw(nonce, 1.0, True) is Standing.NEVER_STARTED
-    assert book.take(nonce, 1.0, True) == Rejected(RejectionCause.WITHDRAWN)
+    registry = make_registry()
+    nonce = registry.reserve(5.0, 0.0)
+    assert registry.withdraw(nonce, 1.0, True) is Standing.NEVER_STARTED
+    assert registry.take(nonce, 1.0, True) == Rejected(RejectionCause.WITHDRAWN)
     late = run_id("", "request", 1)
-    assert book.withdraw(late, 1.0, False) is Standing.NEVER_STARTED
-    assert book.take(late, 1.0, False) == Rejected(RejectionCause.WITHDRAWN)
+    assert registry.withdraw(late, 1.0, False) is Standing.NEVER_STARTED
+    assert registry.take(late, 1.0, False) == Rejected(RejectionCause.WITHDRAWN)
 
 
-def test_a_run_that_waits_can_be_withdrawn_and_one_that_started_cannot() -> None:
-    book = make_book()
+def test_a_waiting_run_can_be_withdrawn_and_a_started_one_cannot() -> None:
+    registry = make_registry()
     waiting, started = RunId("a/1"), RunId("b/1")
     for run in (waiting, started):
-        book.take(run, 0.0, False)
-    assert book.start(started, 0.0)
-    assert book.withdraw(started, 0.0, False) is Standing.STARTED
-    assert book.withdraw(waiting, 0.0, False) is Standing.NEVER_STARTED
-    assert not book.start(waiting, 0.0)
-    book.finish(started, 0.0)
-    assert book.withdraw(started, 0.0, False) is Standing.FINISHED
-
-
-def test_another_incarnation_proves_nothing() -> None:
-    nonce = make_book("before").reserve(5.0, 0.0)
-    book = make_book("after")
-    assert book.take(nonce, 0.0, True) == Rejected(RejectionCause.OTHER_INCARNATION)
-    assert book.withdraw(nonce, 0.0, True) is Standing.UNKNOWN
-
-
-def test_what_was_forgotten_is_not_called_unstarted() -> None:
-    book = make_book()
-    nonce = book.reserve(5.0, 0.0)
-    book.take(nonce, 0.0, True)
-    book.start(nonce, 0.0)
-    book.finish(nonce, 0.0)
+        registry.take(run, 0.0, False)
+    assert registry.start(started, 0.0)
+    assert registry.withdraw(started, 0.0, False) is Standing.STARTED
+    assert registry.withdraw(waiting, 0.0, False) is Standing.NEVER_STARTED
+    assert not registry.start(waiting, 0.0)
+    registry.finish(started, 0.0)
+    assert registry.withdraw(started, 0.0, False) is Standing.FINISHED
+
+
+def test_a_nonce_of_another_incarnation_is_unknown() -> None:
+    nonce = make_registry("before").reserve(5.0, 0.0)
+    registry = make_registry("after")
+    assert registry.take(nonce, 0.0, True) == Rejected(RejectionCause.OTHER_INCARNATION)
+    assert registry.withdraw(nonce, 0.0, True) is Standing.UNKNOWN
+
+
+def test_a_dropped_run_is_not_reported_as_never_started() -> None:
+    registry = make_registry()
+    nonce = registry.reserve(5.0, 0.0)
+    registry.take(nonce, 0.0, True)
+    registry.start(nonce, 0.0)
+    registry.finish(nonce, 0.0)
     later = 2 * RETENTION_S
-    assert book.take(nonce, later, True) == Rejected(RejectionCause.FORGOTTEN)
-    assert book.withdraw(nonce, later, True) is Standing.UNKNOWN
-    assert len(book) == 0
+    assert registry.take(nonce, later, True) == Rejected(RejectionCause.FORGOTTEN)
+    assert registry.withdraw(nonce, later, True) is Standing.UNKNOWN
+    assert len(registry) == 0
 
 
 class Runs(RuleBasedStateMachine):
-    """Whatever is asked in whatever order, no run starts twice or after its withdrawal."""
+    """Under any sequence of calls, no run starts twice or after its withdrawal."""
 
     @initialize()
     def begin(self) -> None:
-        self.book = make_book()
+        self.registry = make_registry()
         self.now = 0.0
         self.names: list[tuple[RunId, bool]] = [(RunId(f"{n}/1"), False) for n in range(3)]
         self.started: list[RunId] = []
@@ -123,30 +123,30 @@
 
     @rule(life=st.sampled_from([1.0, 10.0]))
     def reserve(self, life: float) -> None:
-        self.names.append((self.book.reserve(life, self.now), True))
+        self.names.append((self.registry.reserve(life, self.now), True))
 
     @rule(number=st.integers(0, 8))
     def take_and_start(self, number: int) -> None:
         name, is_nonce = self.names[number % len(self.names)]
-        if self.book.take(name, self.now, is_nonce) == AcceptedRun() and number % 2:
-            assert self.book.start(name, self.now)
+        if self.registry.take(name, self.now, is_nonce) == AcceptedRun() and number % 2:
+            assert self.registry.start(name, self.now)
             self.started.append(name)
 
     @rule(number=st.integers(0, 8))
     def start_late(self, number: int) -> None:
         name, _ = self.names[number % len(self.names)]
-        if self.book.start(name, self.now):
+        if self.registry.start(name, self.now):
             self.started.append(name)
 
     @rule(number=st.integers(0, 8))
     def finish(self, number: int) -> None:
         if self.started:
-            self.book.finish(self.started[number % len(self.started)], self.now)
+            self.registry.finish(self.started[number % len(self.started)], self.now)
 
     @rule(number=st.integers(0, 8))
     def withdraw(self, number: int) -> None:
         name, is_nonce = self.names[number % len(self.names)]
-        if self.book.withdraw(name, self.now, is_nonce) is Standing.NEVER_STARTED:
+        if self.registry.withdraw(name, self.now, is_nonce) is Standing.NEVER_STARTED:
             assert name not in self.started
             self.withdrawn.add(name)
 
@@ -174,12 +174,12 @@
     assert claim_key("a", "bc", "d") != claim_key("ab", "c", "d")
 
 
-def test_only_some_refusals_bar_a_reservation_for_good() -> None:
+def test_only_some_refusals_prove_that_a_reservation_never_starts() -> None:
     assert never_starts(Withdrawn("")) and never_starts(TicketExpired(""))
     assert needs_withdrawal(Overloaded("")) and not needs_withdrawal(TargetFailed(""))
 
 
-def test_what_may_have_run_is_never_called_not_run() -> None:
+def test_a_request_that_may_have_run_is_never_reported_as_not_run() -> None:
     for kind in error_classes():
         step = next_step(kind("reason"), AttemptContext(repeatable=False, may_have_run=True))
         assert isinstance(step, Retry) or step.error.outcome is Outcome.UNKNOWN, kind
@@ -193,26 +193,26 @@
 
 
 @pytest.mark.parametrize("error", [ConnectionLost(""), TargetFailed(""), AnswerIncomplete("")])
-def test_without_proof_only_a_repeatable_request_is_tried_again(error: Exception) -> None:
+def test_without_proof_only_a_repeatable_request_is_retried(error: Exception) -> None:
     assert isinstance(next_step(error, AttemptContext(repeatable=False)), GiveUp)
     assert isinstance(next_step(error, AttemptContext(repeatable=True)), Retry)
 
 
 @pytest.mark.parametrize("error", [Overloaded(""), Unreachable(""), Withdrawn(""), NoTarget("")])
-def test_with_proof_any_request_is_tried_again(error: Exception) -> None:
+def test_with_proof_any_request_is_retried(error: Exception) -> None:
     assert isinstance(next_step(error, AttemptContext(repeatable=False)), Retry)
 
 
 @pytest.mark.parametrize("error", [MalformedHttp(""), KeyReused(""), RetryBudgetSpent("")])
-def test_what_would_be_refused_again_is_not_tried_again(error: Exception) -> None:
+def test_errors_that_would_repeat_are_not_retried(error: Exception) -> None:
     assert isinstance(next_step(error, AttemptContext(repeatable=True)), GiveUp)
 
 
-def test_a_passed_deadline_ends_it() -> None:
+def test_a_passed_deadline_is_not_retried() -> None:
     assert isinstance(next_step(DeadlinePassed(""), AttemptContext(repeatable=True)), GiveUp)
 
 
-def test_pieces_received_are_resumed_thrown_away_or_the_end() -> None:
+def test_received_pieces_are_resumed_discarded_or_final() -> None:
     lost = ConnectionLost("")
     resumable = AttemptContext(repeatable=True, delivered=3)
     assert isinstance(next_step(lost, resumable), Retry)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing, ejection, the retry budget, subsets and address answers, as pure decisions."""
+"""Routing, ejection, the retry budget, subsets, account addresses and prefix affinity."""
 
 import random
 from collections import Counter
@@ -69,7 +69,7 @@
     ]
 
 
-def test_the_less_loaded_of_two_is_chosen() -> None:
+def test_the_less_loaded_of_two_targets_is_chosen() -> None:
     busy, idle = make_target("busy", in_flight=5), make_target("idle")
     rng = random.Random(1)
     chosen = {choose_target([busy, idle], RoutingContext(0.0), rng).host for _ in range(20)}
@@ -80,10 +80,10 @@
 def test_every_policy_spreads_over_equal_targets(policy: Policy) -> None:
     targets, rng = [make_target(f"t{n}") for n in range(3)], random.Random(1)
     counted: Counter[str] = Counter()
-    for turn in range(1, 301):
+    for number in range(1, 301):
         chosen = choose_target(targets, RoutingContext(0.0), rng, policy)
         chosen.in_flight += 1
-        chosen.last_call = turn
+        chosen.last_call = number
         counted[chosen.host] += 1
     assert min(counted.values()) >= (70 if policy is Policy.RANDOM else 98)
 
@@ -104,16 +104,16 @@
     assert work_ahead(target, 100.0) == pytest.approx(2)
 
 
-def test_a_slow_sample_fades_so_that_the_target_is_tried_again() -> None:
+def test_a_slow_sample_decays_so_that_the_target_is_tried_again() -> None:
     target = make_target("t", request_s=None)
     report = LoadReport(running=0, queued=0, capacity=8, request_s=10.0)
     note_report(target, report, 0.0)
     assert cost(target, RoutingContext(0.0)) == pytest.approx(10.0)
-    note_report(target, report, 99.0)  # told again, but nothing ran there meanwhile
+    note_report(target, report, 99.0)  # repeated, as nothing has run there since
     assert cost(target, RoutingContext(100.0)) == pytest.approx(1.0, rel=0.01)
 
 
-def test_a_fresh_target_gets_a_rising_share() -> None:
+def test_a_new_target_gets_a_rising_share() -> None:
     fresh, old = make_target("fresh", serving_since=0.0), make_target("old")
     for target in (fresh, old):
         target.in_flight = 4
@@ -121,7 +121,7 @@
     assert cost(fresh, RoutingContext(5.0, 1.0, 5.0)) == cost(old, RoutingContext(5.0, 1.0, 5.0))
 
 
-def test_a_failing_target_goes_out_comes_back_on_trial_and_stays_out_longer_each_time() -> None:
+def test_an_ejected_target_returns_on_trial_and_is_ejected_for_longer_each_time() -> None:
     health = TargetHealth()
     for _ in range(3):
         note_failed_call(health, 0.0, 0, 4, RULES)
@@ -136,7 +136,7 @@
     assert health.state(15.0) is EjectionState.ACTIVE
 
 
-def test_a_target_that_fails_most_calls_goes_out_without_a_row_of_failures() -> None:
+def test_a_target_that_fails_most_calls_is_ejected_without_consecutive_failures() -> None:
     health, rng, rules = TargetHealth(), random.Random(1), EjectionRules(after_failures=50)
     ejected = False
     for _ in range(100):
@@ -147,7 +147,7 @@
     assert ejected
 
 
-def test_no_more_targets_go_out_than_the_limit() -> None:
+def test_ejected_targets_stay_within_the_limit() -> None:
     healths = [TargetHealth() for _ in range(4)]
     for _ in range(10):
         for health in healths:
@@ -166,7 +166,7 @@
     assert 0.09 * 20_000 <= retries <= 0.1 * 20_000
 
 
-def test_a_few_retries_are_allowed_however_few_the_requests() -> None:
+def test_a_minimum_of_retries_is_allowed_however_few_the_requests() -> None:
     budget = RetryBudget(share=0.1)
     budget.note_call(0.0)
     assert [budget.take(0.0) for _ in range(4)] == [True] * 3 + [False]
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize(("entries", "targets"), [(8, 124), (30, 120), (300, 620)])
-def test_subsets_are_bounded_even_and_leave_no_target_out(entries: int, targets: int) -> None:
+def test_subsets_are_bounded_and_even_and_cover_every_target(entries: int, targets: int) -> None:
     hosts = [
         TargetHost(HostId(f"t{n}"), Place(f"p{n % 20}"), Address(f"t{n}:1")) for n in range(targets)
     ]
@@ -205,7 +205,7 @@
     assert len(before & pick(names[:-1], hosts)) >= 60
 
 
-def test_an_account_is_told_the_same_entries_in_several_places_whoever_answers() -> None:
+def test_every_entry_returns_the_same_entries_in_several_places_for_an_account() -> None:
     entries = make_entries(9)
     shuffled = random.Random(1).sample(entries, 9)
     for name in ("buyers", "radio", "agents"):
@@ -216,11 +216,11 @@
 
 def test_a_lost_entry_moves_only_the_accounts_that_used_it() -> None:
     entries = make_entries(9)
-    left = entries[1:]
+    remaining = entries[1:]
     for n in range(200):
         account = Account(f"a{n}")
         before = {entry.host for entry in account_entries(account, entries, 3)}
-        after = {entry.host for entry in account_entries(account, left, 3)}
+        after = {entry.host for entry in account_entries(account, remaining, 3)}
         assert len(before & after) >= (3 if "e0" not in before else 2)
 
 
@@ -240,9 +240,9 @@
     assert one[3] != other[3]
 
 
-def test_affinity_goes_to_the_same_target_at_every_entry_while_it_has_room() -> None:
+def test_affinity_chooses_the_same_target_at_every_entry_while_it_has_capacity() -> None:
     targets = [make_target(f"t{n}") for n in range(6)]
-    homes = set()
+    chosen_hosts = set()
     for n in range(60):
         blocks = prefix_blocks(f"{n:064d}" + "x" * 192)
         chosen = {
@@ -250,28 +250,28 @@
             for order in (targets, targets[::-1])
         }
         assert len(chosen) == 1
-        homes |= chosen
-    assert len(homes) == 6
+        chosen_hosts |= chosen
+    assert len(chosen_hosts) == 6
 
 
-def test_affinity_yields_to_load_and_to_slowness() -> None:
+def test_load_and_slowness_take_precedence_over_affinity() -> None:
     targets = [make_target(f"t{n}") for n in range(3)]
     blocks = prefix_blocks("y" * 256)
-    home = preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0))
-    home.in_flight = 6
+    preferred = preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0))
+    preferred.in_flight = 6
     assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is None
     for each in targets:
         each.in_flight = 7
-    assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is home
-    home.in_flight, home.request_s = 0, 10.0
+    assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is preferred
+    preferred.in_flight, preferred.request_s = 0, 10.0
     assert preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0)) is None
 
 
-def test_a_longer_known_prefix_wins_over_rendezvous() -> None:
+def test_a_known_prefix_takes_precedence_over_rendezvous() -> None:
     targets = [make_target(f"t{n}") for n in range(3)]
     blocks = prefix_blocks("z" * 64 * 8)
-    home = preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0))
-    other = next(each for each in targets if each is not home)
+    preferred = preferred_target(targets, blocks, PrefixIndex(), RoutingContext(0.0))
+    other = next(each for each in targets if each is not preferred)
     memory = PrefixIndex()
     memory.note(other.digest, blocks[:6], other.host)
     assert preferred_target(targets, blocks, memory, RoutingContext(0.0)) is other
