--- a/src/lacewinggw/decisions/ejection.py
+++ b/src/lacewinggw/decisions/ejection.py
@@ -11,7 +11,7 @@
 
 FAILURE_DECAY = 0.9  # weight of earlier calls in the failing share, per call
 FAILING_SHARE = 0.5
-MIN_CALLS = 20  # calls before the share says anything
+MIN_CALLS = 20  # before which the failing share is not used
 MAX_EJECTION_FACTOR = 16
 
 
--- a/src/lacewinggw/decisions/limits.py
+++ b/src/lacewinggw/decisions/limits.py
@@ -179,7 +179,9 @@
         bucket = TokenBucket(rate, tokens=max(MIN_BURST, rate * BURST_S), at=now)
         return cls(declared, bucket, declared.concurrency / max(1, entries))
 
-    def rebalance(self, me: HostId, entries: frozenset[HostId], now: float, stale_s: float) -> None:
+    def rebalance(
+        self, own_host: HostId, entries: frozenset[HostId], now: float, stale_s: float
+    ) -> None:
         """Recompute the share from the demand of the account's entries.
 
         Entries other than those of the account count only while they report demand.
@@ -188,16 +190,16 @@
             host for host, report in self.reports.items() if now - report.received_at > stale_s
         ]:
             del self.reports[host]
-        rates = dict.fromkeys(entries | {me}, 0.0)
-        running = dict.fromkeys(entries | {me}, 0.0)
+        rates = dict.fromkeys(entries | {own_host}, 0.0)
+        running = dict.fromkeys(entries | {own_host}, 0.0)
         for host, report in self.reports.items():
             if host in rates or report.offered_per_s > 0.0:
                 rates[host] = report.offered_per_s
                 running[host] = float(report.running)
-        rates[me] = self.offered.rate(now)
-        running[me] = float(self.running_demand(now))
-        self.bucket.set_rate(split_limit(self.declared.rate_per_s, rates)[me], now)
-        self.concurrency = split_limit(self.declared.concurrency, running)[me]
+        rates[own_host] = self.offered.rate(now)
+        running[own_host] = float(self.running_demand(now))
+        self.bucket.set_rate(split_limit(self.declared.rate_per_s, rates)[own_host], now)
+        self.concurrency = split_limit(self.declared.concurrency, running)[own_host]
 
     def running_demand(self, now: float) -> int:
         """Return how many requests the account would run here concurrently without its limit."""
--- a/src/lacewinggw/decisions/locality.py
+++ b/src/lacewinggw/decisions/locality.py
@@ -47,7 +47,7 @@
     return sorted(entry.address for entry in near)[:MAX_ADDRESSES]
 
 
-def choose_agents(me: HostId, place: Place, agents: Mapping[HostId, Place]) -> set[HostId]:
+def choose_agents(own_host: HostId, place: Place, agents: Mapping[HostId, Place]) -> set[HostId]:
     """Return the agents that an entry subscribes to: all of its place, a few of each other.
 
     The few differ from entry to entry, so that each agent reports to about as many entries.
@@ -57,6 +57,6 @@
         hosts = (host for host, agent_place in agents.items() if agent_place == other)
         agents_chosen.update(
             HostId(host)
-            for host in rendezvous_order(f"watched by {me}", hosts)[:AGENTS_PER_FAR_PLACE]
+            for host in rendezvous_order(f"watched by {own_host}", hosts)[:AGENTS_PER_FAR_PLACE]
         )
     return agents_chosen
--- a/src/lacewinggw/decisions/targetload.py
+++ b/src/lacewinggw/decisions/targetload.py
@@ -18,8 +18,9 @@
 # Share of a target's slots open to requests that are late already. The rest lets requests that can
 # be on time start at once while the backlog of late ones is worked off.
 LATE_SLOT_SHARE = 0.8
-# A target with calls of this entry that sends no data for this long gets no more requests. Some
-# stream has an event every 0.1 s, in an overload every 0.3 s. Callers give up after two seconds.
+# A target with calls of this entry that sends no data for this long gets no more requests. Over all
+# its streams an event arrives every 0.1 s, in an overload every 0.3 s. Callers give up after two
+# seconds.
 STALL_TIMEOUT_S = 0.5
 MAX_LINK_DELAY_S = 0.4  # beyond this queueing delay the first event of a request is too late
 CONGESTED_CONNECT_S = 0.2  # a connection attempt this long was queued at the link, not refused
--- a/src/lacewinggw/decisions/targetrate.py
+++ b/src/lacewinggw/decisions/targetrate.py
@@ -115,14 +115,14 @@
 
 
 def entry_share(
-    me: HostId, target: TargetId, place: Place, per_s: float, entries: Iterable[PeerEntry]
+    own_host: HostId, target: TargetId, place: Place, per_s: float, entries: Iterable[PeerEntry]
 ) -> float:
     """Return the rate at which an entry may send to a target in `place`, 0 unless it is a holder.
 
     The rate is in requests a second.
     """
     holders = choose_holders(target, place, per_s, entries)
-    return max(per_s, MIN_RATE_PER_S) / len(holders) if me in holders else 0.0
+    return max(per_s, MIN_RATE_PER_S) / len(holders) if own_host in holders else 0.0
 
 
 def choose_holders(
--- a/tests/fleet/crashing.py
+++ b/tests/fleet/crashing.py
@@ -62,13 +62,13 @@
                 return
             await asyncio.sleep(rng.uniform(0.1, 1.0))
 
-    asked = []
+    sends = []
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         body = CRASHING if name is None else f"{name} {rng.random()}".encode()
-        asked.append(asyncio.ensure_future(ask(body)))
+        sends.append(asyncio.ensure_future(ask(body)))
         await asyncio.sleep(rng.expovariate(per_s))
-    await asyncio.gather(*asked)
+    await asyncio.gather(*sends)
 
 
 def crash_times(fleet: DeclaredFleet) -> list[float]:
