--- a/src/lacewinggw/decisions/dispatch.py
+++ b/src/lacewinggw/decisions/dispatch.py
@@ -71,7 +71,7 @@
     `leaving` is the set of targets that take no new work; its owner keeps it up to date.
     `connections_of` returns how many connections this entry may have to each target of a service.
 
-    pool.sync(knowledge.targets)
+    pool.sync(view.targets)
     load = pool.choose(pool.eligible(TargetRequirements(service)), now)
     request = pool.begin(load, now)
     pool.note_prompt_read(request)
@@ -152,8 +152,7 @@
     ) -> TargetLoad | None:
         """Return the eligible target on which a request starts soonest, or None.
 
-        A request that `is_late` takes only slots beyond those kept for requests that can be on
-        time.
+        A request that `is_late` leaves a share of the slots to requests that can be on time.
         """
         eligible = list(eligible)
         # If no target is reachable, the cause is on this entry's side, so reachability is ignored.
@@ -211,17 +210,17 @@
         load.health.note_begin(now)
         return InFlightRequest(load, prefill_s, load.backoff.begin_trial())
 
-    def note_prompt_read(self, claim: InFlightRequest) -> None:
+    def note_prompt_read(self, request: InFlightRequest) -> None:
         """Note that the prefill of a request is over, or will not take place."""
-        claim.load.prefill_s -= claim.prefill_s
-        claim.prefill_s = 0.0
+        request.load.prefill_s -= request.prefill_s
+        request.prefill_s = 0.0
 
-    def end(self, claim: InFlightRequest) -> None:
+    def end(self, request: InFlightRequest) -> None:
         """Note that a request has ended, whatever its outcome."""
-        self.note_prompt_read(claim)
-        claim.load.in_flight -= 1
-        if claim.is_trial:
-            claim.load.backoff.end_trial()
+        self.note_prompt_read(request)
+        request.load.in_flight -= 1
+        if request.is_trial:
+            request.load.backoff.end_trial()
 
     def note_backoff(self, load: TargetLoad, retry_after_s: float, now: float) -> None:
         """Note that a target asked this entry to back off for `retry_after_s` seconds."""
--- a/src/lacewinggw/decisions/subsets.py
+++ b/src/lacewinggw/decisions/subsets.py
@@ -38,8 +38,8 @@
     """Return at most `size` hosts for `entry`, whose ring segment begins at `position`."""
     if len(hosts) <= size:
         return list(hosts)
-    by_host = {facts.host: facts for facts in hosts}
-    near_hosts = [facts.host for facts in hosts if facts.place == place]
+    by_host = {target_host.host: target_host for target_host in hosts}
+    near_hosts = [target_host.host for target_host in hosts if target_host.place == place]
     chosen = rank_hosts(entry, near_hosts)[: size // NEAR_DIVISOR]
     ring = rank_hosts(RING, by_host)
     start = int(position * len(ring))
--- a/src/lacewinggw/decisions/targetload.py
+++ b/src/lacewinggw/decisions/targetload.py
@@ -27,7 +27,7 @@
 # Pause before an agent that did not answer at once is asked for slots again. A frozen agent stays
 # silent for seconds, and each attempt costs a request a tenth of its objective.
 AGENT_PAUSE_S = 0.5
-CONGESTION_PAUSE_S = 0.4  # no requests to a target behind a congested link; about a full queue
+CONGESTION_PAUSE_S = 0.4  # after such an attempt; about the delay of a full queue
 
 
 @dataclass
@@ -51,7 +51,7 @@
     begun: int = 0  # all requests of this entry so far
     prefill_s: float = 0.0  # total prefill time of own calls that have no event yet
     reported: int = 0  # running and queued, by the last report
-    reported_own: int = 0  # of those, own ones when the report came
+    reported_own: int = 0  # own calls when the report arrived
     reported_at: float = -math.inf
     full_until: float = 0.0
     agent_paused_until: float = 0.0  # the agent did not answer, and is not asked until then
@@ -98,7 +98,7 @@
     def takes_requests(self, now: float) -> bool:
         """Return whether the target begins requests, subject to free slots.
 
-        It does not while it loads or shortly after it refused a request as full.
+        It does not while it loads, or in a pause after it was full, timed out or was congested.
         """
         return max(self.full_until, self.loading_until) <= now
 
