--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -125,12 +125,12 @@
 
 def test_two_suspects_never_share_a_target():
     """After the next crash it must be clear which of two suspects caused it."""
-    tracker = SlotAllocator(slots=4)
-    tracker.open()
+    allocator = SlotAllocator(slots=4)
+    allocator.open()
     for lease, suspect in enumerate(("c", "x", None, "c")):
-        tracker.enqueue(lease, SlotRequest(1, False, 5.0, suspect=suspect), 0.0)
-    assert sorted(tracker.grant(0.0)) == [0, 2, 3]
-    tracker.release(0)
-    assert tracker.grant(0.1) == []
-    tracker.release(3)
-    assert tracker.grant(0.2) == [1]
+        allocator.enqueue(lease, SlotRequest(1, False, 5.0, suspect=suspect), 0.0)
+    assert sorted(allocator.grant(0.0)) == [0, 2, 3]
+    allocator.release(0)
+    assert allocator.grant(0.1) == []
+    allocator.release(3)
+    assert allocator.grant(0.2) == [1]
