--- a/src/lacewinggw/fleet/__init__.py
+++ b/src/lacewinggw/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Following a fleet that its operators declare in a store of their own."""
+"""Follow a fleet that its operators declare in their own store."""
--- a/src/lacewinggw/fleet/agentupdates.py
+++ b/src/lacewinggw/fleet/agentupdates.py
@@ -1,9 +1,9 @@
-"""What an entry tells an agent of the fleet, and what the agent makes of it.
+"""Compose the updates that entries send to agents.
 
-An agent needs little: what its service's weights are made of, which versions were named how long
-ago, where the origin is and which targets take part. Ages travel as spans, so no clocks are
-compared; they are as of the sending, and what a message takes on its way is well within the margins
-of a change of weights.
+An agent needs the structure of its service's weights, the required versions and their ages, the
+address of the origin, and the participating targets. Times are sent as ages at the time of sending,
+so no clocks are compared; the transfer time of a message is well within the margins of a change of
+weights.
 """
 
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 def compose_update(
     knowledge: RoutingView, service: Service, position: StorePosition, now: float
 ) -> messages.FleetUpdate | None:
-    """Return the update for the agents of a service, None while too little is known."""
+    """Return the update for the agents of a service; None while required data is missing."""
     table = knowledge.routes
     if table is None or service.weights is None or not service.models:
         return None
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class FleetContent:
-    """What is the same in updates that say nothing new: all but ages and the store's position."""
+    """The parts of an update that decide whether it is new: all but ages and store position."""
 
     store_era: int
     routes_version: int
@@ -60,13 +60,13 @@
 
 
 def content_of(update: messages.FleetUpdate) -> FleetContent:
-    """Return what an update says; what the routes say of a service goes by their version."""
+    """Return the content of an update; data from the routes is represented by their version."""
     versions = tuple(named.version for named in update.named)
     return FleetContent(update.store_era, update.routes_version, versions, tuple(update.targets))
 
 
 def are_all_resumable(table: RouteTable, name: ServiceName) -> bool:
-    """Return whether every request of a service can go on at another target."""
+    """Return whether every request of a service can be resumed at another target."""
     return all(
         route.retry_policy is RetryPolicy.RESUMABLE
         for route in table.routes
--- a/src/lacewinggw/fleet/announcer.py
+++ b/src/lacewinggw/fleet/announcer.py
@@ -1,4 +1,4 @@
-"""List this process for the others, however often the store fails at first."""
+"""Write this process's row to the store, retrying until the store accepts it."""
 
 import asyncio
 import random
@@ -10,13 +10,13 @@
 from lacewinggw.log import get_logger
 
 INITIAL_RETRY_S = 0.3
-MAX_RETRY_S = 3.0  # nobody waits for it urgently: callers reach the others
+MAX_RETRY_S = 3.0  # not urgent: callers use the other entries meanwhile
 
 log = get_logger(__name__)
 
 
 class Announcer:
-    """Announces one member, once it succeeds, and again where that was lost."""
+    """Writes the row of one member, and writes it again if the store has lost it."""
 
     def __init__(self, rows: OwnRows, member: Member, rng: random.Random) -> None:
         self._rows = rows
@@ -26,16 +26,16 @@
         self._loop = Background("announce", self._run)
 
     async def start(self) -> None:
-        """Begin to try."""
+        """Start announcing."""
         self._is_due.set()
         self._loop.start()
 
     async def close(self) -> None:
-        """Stop trying."""
+        """Stop announcing."""
         await self._loop.close()
 
     def announce_again(self) -> None:
-        """Announce it once more, as the store has lost it."""
+        """Announce the member again, because the store has lost its row."""
         self._is_due.set()
 
     async def _run(self) -> None:
--- a/src/lacewinggw/fleet/bounds.py
+++ b/src/lacewinggw/fleet/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of a declared fleet, from the settings."""
+"""Read the time bounds of a declared fleet from the settings."""
 
 from lacewinggw.decisions.routingview import RoutingViewRules
 from lacewinggw.generated.settings.ttypes import Settings
@@ -7,7 +7,7 @@
 
 
 def knowledge_rules(settings: Settings) -> RoutingViewRules:
-    """Return the bounds on knowledge that the settings have."""
+    """Return the time bounds on cached data that the settings define."""
     fleet = settings.fleet
     return RoutingViewRules(
         revocation_s=fleet.revocation_ms / MS_PER_S,
--- a/src/lacewinggw/fleet/era.py
+++ b/src/lacewinggw/fleet/era.py
@@ -1,8 +1,8 @@
-"""The era of the store, as any of its answers or another process has shown it.
+"""Track the era of the store, which increases each time the store is restored from a copy.
 
-A store that was restored from an older copy has lost changes that it had acknowledged. Whoever
-learns of a new era from any call has all that it follows read whole again, for a call that waits at
-such a store may hear nothing of what it has missed.
+A store that was restored from an older copy has lost changes that it had acknowledged. When any
+answer of the store or any other process shows a new era, all followed topics are read completely
+again: a call that waits at a restored store may not return the changes that were missed.
 """
 
 from collections.abc import Callable
@@ -14,10 +14,10 @@
 
 
 class StoreEra:
-    """The newest era that was seen.
+    """The newest era that has been observed.
 
     era.subscribe(on_change)
-    if not era.note(update.position.era): ...  # the answer is of an older era: it says nothing
+    if not era.note(update.position.era): ...  # ignore the answer: it is of an older era
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -27,15 +27,15 @@
 
     @property
     def current(self) -> int:
-        """The era; 0 until it is known."""
+        """The newest era; 0 until one is known."""
         return self._current or 0
 
     def subscribe(self, on_change: Callable[[], None]) -> None:
-        """Have a function called each time that a new era begins."""
+        """Call a function each time that a new era begins."""
         self._listeners.append(on_change)
 
     def note(self, era: int) -> bool:
-        """Take the era of an answer; return whether it is the present one."""
+        """Record the era of an answer; return whether it is the newest one."""
         before, self._current = self._current, max(era, self.current)
         if before is not None and self.current > before:
             log.warning("store_restored", era=self.current, before=before)
--- a/src/lacewinggw/fleet/feed.py
+++ b/src/lacewinggw/fleet/feed.py
@@ -1,7 +1,7 @@
-"""What a store tells of a fleet, whatever the store is.
+"""The interface to a store that describes a fleet, independent of the kind of store.
 
-A feed is one topic at a time: a snapshot first, then the changes after its position. It is the
-adapter of a store that implements `FleetFeed`; everything else sees typed items only.
+Each topic is read as a snapshot, followed by the changes after its position. The adapter of a store
+implements `FleetFeed`; all other code uses typed items only.
 
     update = await feed.snapshot(Topic.TARGETS)
     update = await feed.changes(Topic.TARGETS, update.position, wait_s=2.0)
@@ -19,25 +19,26 @@
 
 
 class Topic(Enum):
-    """What can be followed."""
+    """A topic that can be followed."""
 
-    CONFIGURATION = "configuration"  # the routes, and the versions of weights that are due
+    CONFIGURATION = "configuration"  # the routes and the required versions of weights
     TARGETS = "targets"
-    MEMBERS = "members"  # the product's own: its processes, and the requests that end targets
+    MEMBERS = "members"  # this product's own rows: its processes, and requests that crash targets
 
 
 @dataclass(frozen=True)
 class MemberEntry:
-    """A process of the product, under the key by which it is listed."""
+    """A process of this product that the store lists."""
 
     member: Member
 
 
 @dataclass(frozen=True)
 class CrashingRequest:
-    """What is known of a request that may end targets, kept where it outlasts all processes.
+    """A request that may crash targets, as persisted in the store.
 
-    `targets` ended under it, one after the other; it is kept away from all if `is_quarantined`.
+    `targets` are those that crashed while running it, in order. If `is_quarantined`, it is sent to
+    no target.
     """
 
     request: RequestDigest
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class QuarantineLifted:
-    """A request that is not suspected any more, nor in quarantine."""
+    """A request that is no longer suspected or quarantined."""
 
     request: RequestDigest
 
@@ -65,16 +66,16 @@
 
 @dataclass(frozen=True)
 class ItemRemoved:
-    """An item that is no more: a target's id, a member's host, or the key of a request."""
+    """The key of a removed item: a target's id, a member's host, or the key of a request."""
 
     key: str
 
 
 @dataclass(frozen=True)
 class UnreadableItem:
-    """An entry that cannot be read, as another writer left or spoilt it: it says nothing.
+    """An item that cannot be decoded, for example after a faulty write of another client.
 
-    `revision` is the store's, so that one entry is told of once.
+    `revision` is the store's revision of it, so that each revision is reported once.
     """
 
     key: str
@@ -87,12 +88,12 @@
 
 @dataclass(frozen=True)
 class FeedUpdate:
-    """Changes in order, up to a position; with `whole`, everything that there is.
+    """Changes in order up to a position; all items of the topic if `whole`.
 
-    With `restored` it is everything that a store has which came back from an older copy: what it
-    lacks may be written again, what it has may have been gone before.
+    If `restored`, it is the complete content of a store that was restored from an older copy: items
+    that it lacks may be written again, and items in it may have been removed before the restore.
 
-    `told_s` is the store's own steady clock as it composed the update; None if it did not say.
+    `store_time_s` is the store's monotonic clock when it composed the update, or None if not sent.
     """
 
     changes: tuple[Change, ...]
@@ -103,23 +104,23 @@
 
 
 def listed_targets(update: FeedUpdate) -> list[TargetEntry]:
-    """Return the targets that an update puts on the list."""
+    """Return the targets that an update adds or changes."""
     items = [change.item for change in update.changes if isinstance(change, ItemChanged)]
     return [item for item in items if isinstance(item, TargetEntry)]
 
 
 class HistoryGone(Exception):
-    """The changes after a position are no longer kept: take a snapshot."""
+    """The store no longer has the changes after a position; a snapshot is needed."""
 
 
 class FleetFeed(Protocol):
-    """A store's updates. Both calls raise the kinds of `PlatformError`."""
+    """Reads a store's updates. Both calls raise subclasses of `PlatformError`."""
 
     async def snapshot(self, topic: Topic) -> FeedUpdate:
-        """Return everything of a topic, as of one moment after the call was sent."""
+        """Return all items of a topic, consistent as of one time after the call was sent."""
 
     async def changes(self, topic: Topic, after: StorePosition, wait_s: float) -> FeedUpdate:
-        """Return what changed after a position, waiting up to `wait_s` seconds for something.
+        """Return the changes after a position, waiting up to `wait_s` seconds for one.
 
-        Raise `HistoryGone` when it is not known any more.
+        Raise `HistoryGone` if the store no longer has them.
         """
--- a/src/lacewinggw/fleet/follower.py
+++ b/src/lacewinggw/fleet/follower.py
@@ -1,7 +1,7 @@
-"""Follow one topic of a feed, through every failure of the store behind it.
+"""Follow one topic of a feed, recovering from failures of the store.
 
-Each update comes with its proof: when the call was sent, and when its answer was composed. A
-wait that ends without an update proves that nothing had changed.
+Each update is applied with the times when the call was sent and when its answer was composed. A
+wait that ends without changes confirms that nothing had changed.
 """
 
 import asyncio
@@ -25,40 +25,39 @@
 Apply = Callable[[FeedUpdate, AnswerTimes], None]
 
 INITIAL_RETRY_S = 0.1
-# Between looks whether the topic has to be read: soon at first, as an entry that starts waits for
-# some ms only, then less often, for each look of an idle process costs it a little time.
+# Interval of the check whether the topic has to be read. It is short at first, because a starting
+# entry waits for some ms only, and doubles, because each check costs an idle process some time.
 MIN_IDLE_S = 0.02
 MAX_IDLE_S = 0.2
-# A store that is back is noticed within half as much again. Three seconds after its return an entry
-# counts as in touch, and by then it must have let go of targets that vanished meanwhile.
+# With jitter, the return of a store is noticed within 1.5 times this. Three seconds after it an
+# entry counts as connected, and by then it must have removed targets that vanished meanwhile.
 MAX_RETRY_S = 0.5
-# All entries read a store that was restored whole. Those that the others wait for read at once, the
-# others within the second in which a restored store is to have all back that processes write.
+# All entries read a restored store completely. Entries on which others depend read it at once, the
+# others within the second in which a restored store must get back all rows that processes write.
 URGENT_SPREAD_S = 0.1
 CONFIRMED_SPREAD_S = 0.8
-CONFIRMED_CHECK_S = 0.1  # between looks whether somebody still vouches for what is known
+CONFIRMED_CHECK_S = 0.1  # interval of the check whether a peer still confirms the topic
 
 
 @dataclass(frozen=True)
 class PollTimes:
-    """How long one call waits for an update, and how long to let more gather after some came."""
+    """How long a call waits for an update, and how long to let changes accumulate after one."""
 
     for_update_s: float
     after_update_s: float = 0.0
 
 
 class _Interrupted(Exception):
-    """The call in progress was given up by this process, for it is not needed any more."""
+    """This process cancelled the call in progress because it is no longer needed."""
 
 
 class TopicFollower:
-    """Keep a topic up to date; `apply` gets each update with what it proves.
+    """Keeps a topic up to date and calls `apply` with each update and its proof of freshness.
 
-    A connection that has gone silent is noticed after the wait and a little more, so the wait
-    bounds how old the knowledge may grow. While `is_needed` says no, as somebody else tells what
-    is new, nothing is read; nor while `is_vouched` says yes, as somebody else has read the topic
-    lately and knows the same. `on_regained` is called, before `apply`, once the store answers
-    again.
+    A silent connection is noticed a little after the poll time, so the poll time bounds the age of
+    the data. Nothing is read while `is_needed` returns false, because another entry sends updates,
+    or while `is_confirmed` returns true, because another entry has read the same data recently.
+    `on_regained` is called when the store answers again, before `apply`.
     """
 
     def __init__(
@@ -92,7 +91,7 @@
         self._access = access
         era.subscribe(self._note_new_era)
         self._was_read = False
-        self._is_restored = False  # the store is another than the one that was read
+        self._is_restored = False  # the store has a newer era than the data that was read
         self._call: asyncio.Task[FeedUpdate] | None = None
         self._position: StorePosition | None = None
         self._lost_since: float | None = None
@@ -101,37 +100,37 @@
         self._idle_s = MIN_IDLE_S
         self._reads = metrics.counter("store_reads", topic=topic)
         self._unreadable = metrics.counter("store_entries_unreadable", topic=topic)
-        self._reported_unreadable: dict[str, int] = {}  # the revision that was told, by key
+        self._reported_unreadable: dict[str, int] = {}  # the last revision reported, by key
         self._loop = Background(f"follow {topic.value}", self._run)
 
     @property
     def position(self) -> StorePosition:
-        """How far the topic is known, as the store counts."""
+        """The store position up to which the topic has been read."""
         return self._position or NO_POSITION
 
     @property
     def lost_since(self) -> float | None:
-        """Since when the store has not answered, or None while it does."""
+        """When the store stopped answering; None while it answers."""
         return self._lost_since
 
     def advance_to(self, position: StorePosition) -> None:
-        """Note that all up to a position of the store is known from somebody else."""
+        """Record that another process sent all data up to a store position."""
         if position > self.position:
             self._position = position
             self._is_restored = self._is_restored and position.era < self._era.current
 
     def _note_new_era(self) -> None:
-        """Read the topic whole again: the store may lack what was read, and have had more."""
+        """Read the topic completely again: the restored store may differ from what was read."""
         self._is_restored = self._was_read
         self.interrupt()
 
     def interrupt(self) -> None:
-        """Give up a call in progress; whether another one is made is asked anew."""
+        """Cancel the call in progress; `is_needed` decides whether another one follows."""
         if self._call is not None:
             self._call.cancel()
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -166,7 +165,7 @@
                 continue
             self._note_answer()
             if not self._era.note(update.position.era):
-                await asyncio.sleep(INITIAL_RETRY_S)  # of a store that is no more
+                await asyncio.sleep(INITIAL_RETRY_S)  # the answer is of an older era
                 continue
             if self._is_restored and not update.whole:
                 continue
@@ -201,15 +200,16 @@
             await asyncio.sleep(self._rng.uniform(0.0, spread_s))
         if self._position is None or self._is_restored:
             return await self._feed.snapshot(self._topic)
-        # A call that waits at a store that is away may hang long after its return; one that does
-        # not wait ends soon. After a pause it proves at once that what is known is the newest.
+        # A call that waits at an unreachable store may hang long after the store is back, and one
+        # that does not wait ends soon. After an idle time it confirms at once that the data is
+        # current.
         is_urgent = self._lost_since is not None or self._is_idle
         self._is_idle = False
         wait_s = 0.0 if is_urgent else self._poll_times().for_update_s
         return await self._feed.changes(self._topic, self._position, wait_s)
 
     def _report_unreadable(self, update: FeedUpdate) -> None:
-        """Log and count each entry that cannot be read, once a revision of it."""
+        """Log and count each unreadable item, once per revision."""
         found = [each for each in update.changes if isinstance(each, UnreadableItem)]
         if update.whole:
             listed = {each.key for each in found}
--- a/src/lacewinggw/fleet/listing.py
+++ b/src/lacewinggw/fleet/listing.py
@@ -1,4 +1,4 @@
-"""Take updates of the list of targets into the knowledge of a process."""
+"""Apply updates of the list of targets to a process's view of the fleet."""
 
 from lacewinggw.decisions.routingview import RoutingView
 from lacewinggw.decisions.targetlist import TargetEntry
@@ -13,7 +13,7 @@
 
 
 def apply_target_list(knowledge: RoutingView, update: FeedUpdate, now: float) -> None:
-    """Take targets that are new, changed or gone; one that cannot be read is let go at once."""
+    """Apply targets that are new, changed or removed; an unreadable one is removed at once."""
     if update.whole:
         knowledge.replace_targets(listed_targets(update), now, update.restored)
     for change in update.changes:
--- a/src/lacewinggw/fleet/ownrows.py
+++ b/src/lacewinggw/fleet/ownrows.py
@@ -1,7 +1,6 @@
-"""What the product itself keeps in the operators' store: its processes, requests that end targets.
+"""Rows that this product keeps in the operators' store: processes and requests that crash targets.
 
-Both stand in one list, told apart by their keys, so that who follows the one has the other with the
-same call.
+Both kinds are in one list and distinguished by their keys, so that one call returns both.
 """
 
 from collections.abc import Mapping
@@ -12,25 +11,25 @@
 from lacewinggw.fleet.feed import CrashingRequest, MemberEntry
 from lacewinggw.ids import RequestDigest, ServiceName, TargetId
 
-CRASHING_PREFIX = "crashing/"  # a host's name has no slash, so no process has such a key
+CRASHING_PREFIX = "crashing/"  # names of hosts have no slash, so keys of processes differ
 
 
 @dataclass(frozen=True)
 class OwnRow:
-    """A row of the product's list: its key, and what it says."""
+    """A row of this product's list: its key and its JSON value."""
 
     key: str
     value: Mapping[str, object] = field(default_factory=dict)
 
 
 class OwnRows(Protocol):
-    """Where the product's own rows are kept. Calls raise the kinds of `PlatformError`."""
+    """Writes this product's rows. Both calls raise subclasses of `PlatformError`."""
 
     async def put(self, row: OwnRow) -> None:
-        """Write a row, whether it is there or not; may be done again."""
+        """Create or replace a row; idempotent."""
 
     async def remove(self, key: str) -> None:
-        """Remove a row if it is there; may be done again."""
+        """Remove a row if it exists; idempotent."""
 
 
 def member_row(member: Member) -> OwnRow:
@@ -39,7 +38,7 @@
 
 
 def crashing_row(entry: CrashingRequest) -> OwnRow:
-    """Return the row of a request that ends targets, or is suspected of it."""
+    """Return the row of a request that crashes targets or is suspected of it."""
     value = {
         "service": entry.service,
         "targets": list(entry.targets),
@@ -49,25 +48,25 @@
 
 
 def crashing_key(request: RequestDigest) -> str:
-    """Return the key under which a request that ends targets is listed."""
+    """Return the key under which a request that crashes targets is listed."""
     return f"{CRASHING_PREFIX}{request}"
 
 
 def parse_crashing_key(key: str) -> RequestDigest | None:
-    """Return the request that a key stands for, None for another kind of key."""
+    """Return the request of a key; None for another kind of key."""
     if not key.startswith(CRASHING_PREFIX):
         return None
     return RequestDigest(key.removeprefix(CRASHING_PREFIX))
 
 
 def decode_own_row(key: str, value: Mapping[str, Any]) -> MemberEntry | CrashingRequest:
-    """Return what a row says; raise `KeyError` or `ValueError` for one that says nothing."""
+    """Return the item of a row; raise `KeyError` or `ValueError` if it is invalid."""
     request = parse_crashing_key(key)
     if request is None:
         return MemberEntry(member_from_json(value))
     targets = value["targets"]
     if not isinstance(targets, list):
-        raise ValueError("the targets are no list")
+        raise ValueError("`targets` is not a list")
     return CrashingRequest(
         request,
         ServiceName(str(value["service"])),
--- a/src/lacewinggw/fleet/running.py
+++ b/src/lacewinggw/fleet/running.py
@@ -19,16 +19,16 @@
     incarnation: Incarnation
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Start the process."""
 
     async def drain(self) -> None:
-        """End what is running."""
+        """Finish what is running."""
 
     async def close(self) -> None:
         """Stop."""
 
     def apply(self, settings: Settings) -> None:
-        """Take in changed settings."""
+        """Apply changed settings."""
 
 
 async def run_process(
@@ -38,7 +38,7 @@
     path: str,
     load: Callable[[], Settings],
 ) -> None:
-    """Run a process until it is asked to leave; `load` reads the settings at `path` again."""
+    """Run a process until it is signalled to stop; `load` rereads the settings at `path`."""
     stream = LogStream.for_stdout()
     configure_process_log(settings.process, role, process.incarnation, stream)
     process.metrics.read_gauge("log_lines_dropped", lambda: stream.dropped)
--- a/src/lacewinggw/frontend/__init__.py
+++ b/src/lacewinggw/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The entry of a declared fleet: requests go straight to targets."""
+"""The entry of a declared fleet, which sends requests directly to targets."""
--- a/src/lacewinggw/frontend/admission.py
+++ b/src/lacewinggw/frontend/admission.py
@@ -1,7 +1,7 @@
-"""Whether a request may be served at all: its route, its client account, its time.
+"""Decide whether a request may be served: find its route, client account and deadline.
 
-Pure: everything follows from the knowledge at hand and its age. What is denied for good (no such
-route, no such key) is denied only by knowledge so fresh that something new would be in it.
+These functions do no I/O: the result depends only on the cached routes and their age. A permanent
+denial (unknown route or key) requires routes fresh enough to contain any recent addition.
 """
 
 import hashlib
@@ -17,12 +17,12 @@
 from lacewinggw.ids import RequestDigest, ServiceName
 
 DIGEST_BYTES = 12
-CATCH_UP_MS = 300  # until a process that has just started, or was cut off, knows the routes
+CATCH_UP_MS = 300  # for a process that has just started or reconnected to get the routes
 
 
 @dataclass(frozen=True)
 class AdmittedRequest:
-    """A request that may be served; `deadline` by the loop's clock, in seconds."""
+    """A request that may be served; `deadline` is in seconds by the loop's clock."""
 
     call: Call
     facts: CallFacts
@@ -34,14 +34,14 @@
 
     @cached_property
     def digest(self) -> RequestDigest:
-        """What is the same in each attempt at this request: all that its caller asks, and who asks.
+        """A digest of the request and its client account, equal for all attempts at the request.
 
-        Attempts have ids of their own, and a caller may come back to any entry.
+        Each attempt has an id of its own, and a caller may retry at any entry.
         """
-        asked = (self.call.method, self.call.domain, self.call.target)
-        who = self.account.name if self.account else ""
+        request = (self.call.method, self.call.domain, self.call.target)
+        account_name = self.account.name if self.account else ""
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-        for part in (*asked, who):
+        for part in (*request, account_name):
             digest.update(part.encode() + b"\0")
         digest.update(self.call.body)
         return RequestDigest(digest.hexdigest())
@@ -50,13 +50,14 @@
 def admit(
     call: Call, facts: CallFacts, knowledge: RoutingView, now: float, rng: random.Random
 ) -> AdmittedRequest:
-    """Return the request with its route and account; `now` is by the clock of the knowledge.
+    """Return the request with its route and account; `now` is by the clock of `knowledge`.
 
-    Raise `NotReady` while too little is known, `UnknownPath` and `BadToken` for what is denied.
+    Raise `NotReady` while the cached routes are missing or too old to decide, `UnknownPath` for an
+    unknown route, and `BadToken` for an unknown key.
     """
     table = knowledge.routes
     if table is None:
-        raise NotReady("the routes are not known yet", retry_after_ms=CATCH_UP_MS)
+        raise NotReady("the routes have not been received yet", retry_after_ms=CATCH_UP_MS)
     route = _find_route(call, table, knowledge, now)
     account = _find_account(facts, route, table, knowledge, now)
     priority = route.priority
@@ -94,5 +95,5 @@
             raise NotReady("the keys may have changed", retry_after_ms=CATCH_UP_MS)
         raise BadToken("no client account holds this key")
     if not knowledge.can_accept_keys(now):
-        raise NotReady("keys cannot be checked: the store is out of reach", retry_after_ms=1000)
+        raise NotReady("keys cannot be checked: the store is unreachable", retry_after_ms=1000)
     return account
--- a/src/lacewinggw/frontend/agents.py
+++ b/src/lacewinggw/frontend/agents.py
@@ -1,4 +1,4 @@
-"""The agents beside the model engines: what they tell this entry, and what it tells them."""
+"""Exchange updates with the agents of model engines."""
 
 import asyncio
 import random
@@ -23,26 +23,24 @@
 from lacewinggw.wire.soundness import require_sound
 
 FLEET_UPDATE_INTERVAL_S = 1.5  # between updates for agents without a change
-COALESCE_S = 0.02  # changes that come together are told together
+COALESCE_S = 0.02  # changes within this time are sent in one update
 MS_PER_S = 1000.0
-NOTIFIERS_PER_AGENT = (
-    2  # entries that tell one agent; with one, its death would leave the agent to the store
-)
+NOTIFIERS_PER_AGENT = 2  # if a single notifier died, the agent would have to read the store
 
 
 @dataclass(frozen=True)
 class _SentUpdate:
-    """What agents were told last, and when."""
+    """The content of the last update sent to agents, and when it was sent."""
 
     content: FleetContent
     at: float
 
 
 class AgentLinks:
-    """Keeps links to the agents of model engines: those near, a few others, and those it tells.
+    """Keeps links to agents of model engines: nearby ones, a few others, and those it notifies.
 
-    An agent is told by a few entries only: those that rank first for it among `speakers`, the
-    entries that are ready. It listens on the port on which entries do.
+    Each agent is notified by only a few entries: those that rank first for it among `notifiers`,
+    the entries that are ready. Agents listen on the same port as entries.
     """
 
     def __init__(
@@ -74,7 +72,7 @@
         self._loop = Background("fleet updates", self._run)
 
     async def start(self, store: StoreFollower) -> None:
-        """Begin to listen, and to tell what `sight` brings."""
+        """Start watching agents, and sending them what `store` receives."""
         self._store = store
         self._watches.start()
         self._loop.start()
@@ -85,7 +83,7 @@
         await self._watches.close()
 
     def schedule_update(self) -> None:
-        """Watch the agents of the targets that there are now, and tell all what is new."""
+        """Watch the agents of the current targets, and send an update soon."""
         self._watch()
         self._changed.set()
 
@@ -104,7 +102,7 @@
         )
 
     def apply_update(self, update: messages.TargetUpdate) -> None:
-        """Take what an agent says of its target."""
+        """Apply an agent's update about its target."""
         require_sound(update)
         name = TargetName(update.name)
         self._knowledge.record_incarnation(name, update.born_ms)
@@ -125,7 +123,7 @@
 
     async def _run(self) -> None:
         while True:
-            self._watch()  # those that this entry is to tell change as entries come and go
+            self._watch()  # the agents to notify change as entries come and go
             self._send_updates()
             with suppress(TimeoutError):
                 async with asyncio.timeout(FLEET_UPDATE_INTERVAL_S):
@@ -134,12 +132,12 @@
             await asyncio.sleep(COALESCE_S)
 
     def _send_updates(self) -> None:
-        routes, sight = self._knowledge.routes, self._store
-        if routes is None or sight is None or not sight.has_targets:
+        routes, store = self._knowledge.routes, self._store
+        if routes is None or store is None or not store.has_targets:
             return
         notifiers = self._notifiers()
         for service in routes.services.values():
-            position = sight.targets_position
+            position = store.targets_position
             update = compose_update(self._knowledge, service, position, self._clock())
             if update is None or not self._is_due(service.name, update):
                 continue
@@ -149,9 +147,9 @@
                     self._node.notify_open(agent.address, update)
 
     def _is_due(self, service: ServiceName, update: messages.FleetUpdate) -> bool:
-        """Return whether agents of a service are to be told now: something is new, or it is time.
+        """Return whether an update is due: its content is new, or the interval has passed.
 
-        Rows of targets change each second, and most of it concerns entries only.
+        Rows of targets change every second, mostly in ways that do not concern agents.
         """
         now, content = self._clock(), content_of(update)
         last_sent = self._sent.get(service)
--- a/src/lacewinggw/frontend/agentslots.py
+++ b/src/lacewinggw/frontend/agentslots.py
@@ -1,4 +1,4 @@
-"""Slots asked of agents over the links that this entry has to them."""
+"""Request slots from agents over this entry's links to them."""
 
 from lacewinggw.decisions.slots import SlotRequest
 from lacewinggw.decisions.targetload import TargetLoad
@@ -20,9 +20,9 @@
 
 
 class AgentSlots:
-    """Asks the agents beside targets for slots; they listen on the port on which entries do.
+    """Requests slots from the agents of targets; agents listen on the same port as entries.
 
-    call = slots.ask(load, wish)  # None while there is no link
+    call = slots.ask(load, request)  # None while there is no link
     if call is not None and await call.answer() is SlotAnswer.GRANTED: ...
     """
 
@@ -31,7 +31,7 @@
         self._port = port
 
     def ask(self, load: TargetLoad, request: SlotRequest) -> "AgentSlotCall | None":
-        """Ask for a slot of a target."""
+        """Request a slot of a target; return None if there is no link to its agent."""
         host = load.entry.address.rpartition(":")[0]
         link = self._node.open_link(Address(f"{host}:{self._port}"))
         if link is None:
@@ -49,14 +49,14 @@
 
 
 class AgentSlotCall:
-    """One slot that an agent was asked for."""
+    """One pending request for a slot at an agent."""
 
     def __init__(self, call: OutgoingCall) -> None:
         self._call = call
         self._answers = call.replies()
 
     async def answer(self) -> SlotAnswer:
-        """Return the next thing that the agent says; LOST when it cannot be heard any more."""
+        """Return the agent's next answer; LOST if the link broke or the answer is unknown."""
         try:
             reply = await anext(self._answers)
         except (LacewingError, StopAsyncIteration):
@@ -66,6 +66,6 @@
         return ANSWERS.get(reply.state, SlotAnswer.LOST)
 
     def end(self) -> None:
-        """Give the slot back, or leave the line for it."""
+        """Give the slot back, or leave the agent's queue."""
         self._call.follow(messages.Cancel("done"))
         self._call.abandon()
--- a/src/lacewinggw/frontend/callers.py
+++ b/src/lacewinggw/frontend/callers.py
@@ -1,7 +1,7 @@
-"""Connections of callers: requests read within their limits, answers whole or as they come.
+"""Serve the HTTP connections of callers: read requests within limits, send answers or streams.
 
-While a request is in progress its connection is watched, so that a caller that leaves frees its
-target at once; what it sends meanwhile waits for its turn.
+While a request is in progress its connection is read, so that a disconnect of the caller frees the
+target at once. Further requests that arrive meanwhile are buffered until the answer is sent.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 
 BAD_REQUEST = 400
 CONTENT_TOO_LARGE = 413
-PIPELINED_BYTES = 1 << 16  # of further requests, taken in while one is in progress
-REFUSAL_READ_S = 0.5  # for the caller to read a refusal before the connection is reset
+PIPELINED_BYTES = 1 << 16  # buffered of further requests while one is in progress
+REFUSAL_READ_S = 0.5  # time for the caller to read a refusal before the connection is closed
 
 log = get_logger(__name__)
 
 
 class CallerDisconnected(Exception):
-    """The caller closed its connection, or the way to it is cut."""
+    """The caller closed its connection, or the connection broke."""
 
 
 class CallerConnection:
-    """One connection: the requests on it, one after the other, and their answers."""
+    """One connection of a caller, with its successive requests and answers."""
 
     def __init__(self, stream: Stream, limits: CallerLimits) -> None:
         self._stream = stream
@@ -43,7 +43,7 @@
 
     @property
     def can_be_reused(self) -> bool:
-        """Whether another request can follow on this connection."""
+        """Whether another request may follow on this connection."""
         done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         return done and not self._close_after
 
@@ -57,16 +57,16 @@
         self._stream.close()
 
     def close_after_answer(self) -> None:
-        """Have the next answer be the last one, and say so in it."""
+        """Send `connection: close` with the next answer and close the connection after it."""
         self._close_after = True
 
     # ---- requests -------------------------------------------------------------------------
 
     async def next_call(self) -> Call | None:
-        """Return the next request, or None when the caller is done.
+        """Return the next request, or None when the caller has closed its side.
 
-        Raise `HttpError` with the status for one that is refused, and `TimeoutError` for one that
-        comes too slowly.
+        Raise `HttpError` with the status for a request that is refused, and `TimeoutError` for one
+        that arrives too slowly.
         """
         if self._http.our_state is h11.DONE:
             self._http.start_next_cycle()
@@ -81,16 +81,14 @@
             async with asyncio.timeout(self._limits.head_s + self._limits.idle_s):
                 body = await self._read_body()
         except h11.RemoteProtocolError as error:
-            raise HttpError(
-                error.error_status_hint, f"not HTTP as it should be: {error}"
-            ) from error
+            raise HttpError(error.error_status_hint, f"invalid HTTP: {error}") from error
         method = event.method.decode("ascii")
         domain = next(iter(header_values(headers, "host")), "")
         target = event.target.decode("latin-1")
         return Call(method, target, domain, headers, body, arrived_at)
 
     async def _await_head(self) -> Any:
-        """Wait for the first byte as long as a caller may idle, then for the head."""
+        """Wait for the first byte within the idle limit, then for the head within its own limit."""
         event = self._http.next_event()
         if event is h11.NEED_DATA and not self._http.trailing_data[0]:
             async with asyncio.timeout(self._limits.idle_s):
@@ -104,8 +102,8 @@
 
     async def _read_body(self) -> bytes:
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._stream.write(self._http.send(go_on) or b"")
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            self._stream.write(self._http.send(interim) or b"")
         parts: list[bytes] = []
         size = 0
         while True:
@@ -132,7 +130,7 @@
         self._http.receive_data(data)
 
     async def wait_for_disconnect(self) -> None:
-        """Return once the caller has left; what else it sends is kept for later."""
+        """Return once the caller has disconnected; buffer what else it sends."""
         while self._read_ahead < PIPELINED_BYTES:
             try:
                 data = await self._stream.read(READ_BYTES)
@@ -147,7 +145,7 @@
     # ---- answers --------------------------------------------------------------------------
 
     async def answer(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         fields = [*headers, ("content-length", str(len(body)))]
         data = self._head(status, fields)
         if body:
@@ -167,11 +165,14 @@
         await self._write(self._http.send(h11.Data(data=data)) or b"")
 
     async def end(self) -> None:
-        """Send the end of a streamed answer: it is whole."""
+        """Send the end of a streamed answer, which marks it as complete."""
         await self._write(self._http.send(h11.EndOfMessage()) or b"")
 
     async def refuse(self, error: LacewingError, status: int = 0, keep: bool = True) -> None:
-        """Send an error as a problem; with `keep` false it is the last answer."""
+        """Send an error as a problem document; close the connection after it if `keep` is false.
+
+        Do nothing if part of an answer has been sent.
+        """
         if self.has_started_answer:
             return
         if not keep:
@@ -203,20 +204,20 @@
 
 
 def _check_framing(headers: HeaderList) -> None:
-    """Refuse a body with two lengths, or with a length and chunks: proxies read them apart."""
+    """Refuse a body with two lengths, or a length and chunks, which proxies read differently."""
     lengths = header_values(headers, "content-length")
     if len(lengths) > 1 or (lengths and header_values(headers, "transfer-encoding")):
-        raise HttpError(BAD_REQUEST, "the length of the body is said twice")
+        raise HttpError(BAD_REQUEST, "the body has more than one length")
 
 
 Serve = Callable[[Call, CallerConnection], Awaitable[None]]
 
 
 class CallerListener:
-    """Accepts callers and has each of their requests served.
+    """Accepts connections of callers and passes each request to `serve`.
 
-    `limits` gives those in force when a connection opens. `close(grace_s)` lets requests in
-    progress end.
+    `limits` returns the limits for a new connection. `close(grace_s)` lets requests in progress
+    finish.
     """
 
     def __init__(
@@ -234,8 +235,8 @@
 
     @property
     def address(self) -> str:
-        """The bound address, once started."""
-        assert self._listener is not None, "start() comes first"
+        """The bound address; available once started."""
+        assert self._listener is not None, "call start() first"
         return self._listener.address
 
     @property
@@ -244,15 +245,15 @@
         return len(self._busy)
 
     async def start(self) -> None:
-        """Bind and accept."""
+        """Bind the address and accept connections."""
         self._listener = await self._network.listen(self._address, self._accept)
 
     def disable_keep_alive(self) -> None:
-        """Have each answer from now on be the last on its connection."""
+        """Close each connection after its next answer."""
         self._is_leaving = True
 
     async def close(self, grace_s: float = 0.0) -> None:
-        """Stop accepting, let requests in progress end, then cut the rest."""
+        """Stop accepting, let requests in progress finish within the grace, cancel the others."""
         self.disable_keep_alive()
         self._is_closing = True
         if self._listener is not None:
@@ -302,12 +303,15 @@
             await self._serve(call, caller)
             self._busy.discard(task)
             self._idle.add(task)
-            # A request on a connection that was busy when closing began would be cut midway.
+            # Once closing has begun, another request on this connection would be cut off midway.
             if self._is_closing or not caller.can_be_reused:
                 return
 
     async def _wait_until_read(self, caller: CallerConnection) -> None:
-        """Read on for a moment: closing over unread bytes would take the refusal away."""
+        """Keep reading briefly: closing with unread bytes resets the connection.
+
+        The reset would discard the refusal before the caller reads it.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(REFUSAL_READ_S):
                 await caller.wait_for_disconnect()
--- a/src/lacewinggw/frontend/calls.py
+++ b/src/lacewinggw/frontend/calls.py
@@ -1,7 +1,7 @@
-"""A caller's request and a target's answer, as the rest of the entry sees them.
+"""A caller's request and a target's answer, independent of the operators' header format.
 
-How either travels is the operators' choice: a `CallCodec` of theirs reads the head of a request,
-writes the head that goes to a target, and reads the head of an answer.
+A `CallCodec` that the operators provide reads the head of a request, writes the head that is sent
+to a target, and reads the head of an answer.
 """
 
 from collections.abc import Sequence
@@ -11,9 +11,9 @@
 from lacewinggw.ids import Account, ModelName, TargetName
 from lacewinggw.wire.http import HeaderList, Headers
 
-DEFAULT_URGENCY = 5  # of a request that says nothing; 0 is the most urgent, 9 the least
+DEFAULT_URGENCY = 5  # of requests without one; 0 is the most urgent, 9 the least
 
-# Headers that concern one connection and are never passed on (RFC 9110, section 7.6.1).
+# Headers that concern one connection and are never forwarded (RFC 9110, section 7.6.1).
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Call:
-    """A request as it came: `target` is the path with its query, as written."""
+    """A request as received: `target` is the path with its query, unmodified."""
 
     method: str
     target: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class CallFacts:
-    """What the head of a request tells, in seconds and tokens; None where it says nothing."""
+    """Data from the head of a request, in seconds and tokens; None where it is absent."""
 
     call_id: str
     time_left_s: float | None = None
@@ -64,10 +64,10 @@
 
 @dataclass(frozen=True)
 class DispatchFacts:
-    """What a target is told beside the caller's own head.
+    """Data that is sent to a target in addition to the caller's own head.
 
-    The target refuses the request unless it is `target`, and unless it has `version` where that is
-    given. `resume_after` is the last event that the caller has.
+    The target refuses the request if its name is not `target`, or if `version` is given and it does
+    not have that version. `resume_after` is the last event that the caller has received.
     """
 
     target: TargetName
@@ -80,14 +80,18 @@
 
 @dataclass(frozen=True)
 class AnswerFacts:
-    """What the head of an answer tells.
-
-    With `not_run` the target says that it did not run the request; `call_id` is the request that
-    the answer belongs to, `sealed` whether it bears the target's mark, `version` the version of the
-    weights that it comes from, `answered_by` the target at the address, where the answer names it.
-    `limit_per_s` is how many requests a second the target asks for, of all entries together;
-    `leaving` whether it says that it leaves, and `retry_after_s` for how many seconds it asks this
-    entry to send it nothing. docs/design/targets.md has who acts on each, and until when.
+    """Data from the head of an answer.
+
+    `not_run`: the target states that it did not run the request.
+    `call_id`: the request that the answer belongs to.
+    `sealed`: whether the answer has the target's response seal.
+    `version`: the version of the weights that produced the answer.
+    `answered_by`: the target at the address, if the answer names it.
+    `limit_per_s`: the requests per second that the target accepts from all entries together.
+    `leaving`: whether the target states that it is leaving.
+    `retry_after_s`: for how many seconds this entry should send the target nothing.
+
+    docs/design/targets.md lists which component acts on each field, and until when.
     """
 
     call_id: str | None
@@ -101,20 +105,20 @@
 
 
 class CallCodec(Protocol):
-    """How requests and answers travel."""
+    """Encodes and decodes the heads of requests and answers."""
 
     def read_call(self, headers: HeaderList) -> CallFacts:
-        """Return what the head of a request tells; raise `MalformedHttp` for what it cannot."""
+        """Return the data of the head of a request; raise `MalformedHttp` if it is invalid."""
 
     def write_call(self, headers: HeaderList, dispatch: DispatchFacts) -> HeaderList:
-        """Return the head that goes to a target."""
+        """Return the head to send to a target."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what the head of an answer tells."""
+        """Return the data of the head of an answer."""
 
 
 def end_to_end_headers(headers: HeaderList) -> list[tuple[str, str]]:
-    """Return the headers that are not about one connection."""
+    """Return the headers that are not specific to one connection."""
     named = _named_by_connection(headers)
     return [
         (name, value)
@@ -133,5 +137,5 @@
 
 
 def header_values(headers: HeaderList, wanted: str) -> Sequence[str]:
-    """Return every value of a header, whatever the case of its name."""
+    """Return all values of a header; its name is matched regardless of case."""
     return [value for name, value in headers if name.lower() == wanted]
--- a/src/lacewinggw/frontend/crashes.py
+++ b/src/lacewinggw/frontend/crashes.py
@@ -1,7 +1,7 @@
-"""Requests that end targets: seen by this entry, told to the others, kept away from targets.
+"""Detect requests that crash targets, report them to other entries, and quarantine them.
 
-Connections that end too soon do not prove that their target ended. An address that refuses
-connections right after that does: no process listens there any more.
+A connection that breaks does not prove that its target crashed. If the address refuses connections
+right afterwards, it did: no process listens there any more.
 """
 
 import asyncio
@@ -27,29 +27,29 @@
 from lacewinggw.wire.http import HttpClient
 
 MS_PER_S = 1000.0
-PROBE_TIMEOUT_S = 0.25  # connecting takes some ms; a host that is cut off does not answer at all
-# What waits for the proof is about to be tried again, or to fail: a refusal takes some ms.
+PROBE_TIMEOUT_S = 0.25  # connecting takes a few ms; an unreachable host does not answer at all
+# How long a broken request waits for the probe before it is retried or fails. A refused connection
+# takes a few ms.
 PROBE_WAIT_S = 0.05
-# Crashes that come together are told together: when a host fails, or many targets at once, each
-# entry has some to tell and passes on those of others.
+# Crashes within this time are reported in one update. When a host or many targets fail at once,
+# each entry has several crashes to report and forwards those of others.
 COALESCE_S = 0.05
-ASSUMED_INTERVAL_S = 0.1  # between crashes that were written down: when they came is not known
-MAX_ENDED_TARGETS = (
-    256  # targets that ended, so that each is asked once however many connections broke
-)
+ASSUMED_INTERVAL_S = 0.1  # between listed crashes, whose times are not stored
+MAX_ENDED_TARGETS = 256  # remembered, so that each is probed once for all its broken connections
 
 log = get_logger(__name__)
 
 
 class CrashMonitor:
-    """Keeps requests that end targets away from them.
+    """Quarantines requests that crash targets.
 
-    `tell` sends updates to the entries that listen here. What others send is passed on where
-    `passes_on` says so: by those entries of a place to which all other places listen.
+    `broadcast` sends updates to the subscribed entries. Received updates are forwarded if
+    `is_forwarder` returns true, which it does for those entries of a place to which all other
+    places subscribe.
 
-        watch.require_allowed(admitted)  # raises `RequestQuarantined`
-        await watch.note_lost(admitted, entry, began_at)
-        watch.note_served(admitted)
+        monitor.require_not_quarantined(admitted)  # raises `RequestQuarantined`
+        await monitor.note_connection_lost(admitted, entry, began_at)
+        monitor.note_served(admitted)
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._loop = Background("crash updates", self._run)
 
     async def start(self) -> None:
-        """Begin to tell and to judge."""
+        """Start sending updates and evaluating crashes."""
         self._loop.start()
         await self._rows.start()
 
@@ -91,7 +91,7 @@
     # ---- requests of this entry -----------------------------------------------------------
 
     def require_not_quarantined(self, admitted: AdmittedRequest) -> None:
-        """Raise `RequestQuarantined` for a request that ends targets."""
+        """Raise `RequestQuarantined` if the request is quarantined."""
         if self._ledger.is_empty:
             return
         now = self._clock()
@@ -99,23 +99,25 @@
             return
         left_ms = round(self._ledger.quarantine_left(admitted.digest, now) * MS_PER_S)
         raise RequestQuarantined(
-            f"targets of {admitted.service} end under this request", retry_after_ms=left_ms
+            f"targets of {admitted.service} crashed while running this request",
+            retry_after_ms=left_ms,
         )
 
     def is_quarantined(self, admitted: AdmittedRequest) -> bool:
-        """Return whether a request is kept away from targets."""
+        """Return whether a request is quarantined."""
         return self._status(admitted) is CrashStatus.QUARANTINED
 
     def is_suspect(self, admitted: AdmittedRequest) -> bool:
-        """Return whether a request is to run beside no other suspect."""
+        """Return whether a request is suspected and must not run together with other suspects."""
         return self._status(admitted) is CrashStatus.SUSPECT
 
     async def note_connection_lost(
         self, admitted: AdmittedRequest, entry: TargetEntry, began_at: float
     ) -> None:
-        """Take that a request sent at `began_at` was broken off; return once it is known why.
+        """Probe the target of a request that was sent at `began_at` and whose connection broke.
 
-        Nothing is noted unless the target has ended.
+        Return once the probe has finished, or after `PROBE_WAIT_S`. A crash is recorded only if the
+        target has ended.
         """
         probe = self._probes.get(entry.target)
         if probe is None:
@@ -127,7 +129,7 @@
         await asyncio.wait((probe,), timeout=PROBE_WAIT_S)
 
     def note_served(self, admitted: AdmittedRequest) -> None:
-        """Take that a target served a request."""
+        """Record that a target served a request."""
         if self._ledger.is_empty:
             return
         now = self._clock()
@@ -141,7 +143,7 @@
         return self._ledger.status(admitted.digest, self._clock())
 
     async def _probe(self, entry: TargetEntry) -> bool:
-        """Return whether a start of a target has ended."""
+        """Return whether this incarnation of a target has ended."""
         try:
             if entry.target in self._ended_targets:
                 return True
@@ -169,19 +171,19 @@
     # ---- other entries, and the store -----------------------------------------------------
 
     def compose_full_update(self) -> messages.CrashUpdate | None:
-        """Return all that is known, for an entry that begins to listen; None if that is nothing."""
+        """Return the complete state for a new subscriber; None if there is nothing to report."""
         if self._ledger.is_empty:
             return None
         return CrashReport.from_ledger(self._ledger).to_message(self._clock())
 
     def apply_update(self, update: messages.CrashUpdate) -> None:
-        """Take what another entry knows; raise `ProtocolViolation` when it is not sound."""
+        """Merge the update of another entry; raise `ProtocolViolation` if it is invalid."""
         now = self._clock()
         new = merge_report(self._ledger, CrashReport.from_message(update, now), now)
         self._apply_received(new, "entry")
 
     def apply_store_change(self, change: CrashingRequest | QuarantineLifted) -> None:
-        """Take that the store lists a request as one that may end targets, or lists it no more."""
+        """Apply that the store lists a request as crashing targets, or no longer lists it."""
         match change:
             case CrashingRequest(request, _, targets, is_quarantined):
                 now = self._clock()
@@ -195,7 +197,7 @@
                     log.info("quarantine_lifted", digest=request, source="store")
 
     def rewrite_missing(self, listed: Set[str]) -> None:
-        """Write what this entry has written, and the list lacks."""
+        """Rewrite the rows of this entry that the list lacks."""
         self._rows.rewrite_missing(listed)
 
     def _apply_received(self, new: CrashReport, source: str) -> None:
@@ -221,7 +223,7 @@
                 self._broadcast(report.to_message(self._clock()))
 
     async def _wait_for_update(self) -> None:
-        """Wait until there is something to tell, or to judge."""
+        """Wait until there is something to send or to evaluate."""
         wait_s = max(0.0, self._ledger.next_check_at - self._clock())
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_s if math.isfinite(wait_s) else None):
--- a/src/lacewinggw/frontend/crashrows.py
+++ b/src/lacewinggw/frontend/crashrows.py
@@ -1,4 +1,4 @@
-"""Rows of the store in which what is known of requests that end targets outlasts all processes."""
+"""Store rows of requests that crash targets, which survive a restart of all entries."""
 
 import asyncio
 import random
@@ -18,12 +18,13 @@
 
 
 class CrashRows:
-    """Writes what the ledger of an entry says of the requests that this entry has seen itself.
+    """Writes the ledger's records of the requests whose crashes this entry observed itself.
 
-    Two crashes in turn are written at once, for all entries may end before a third is judged. Only
-    entries that saw a request themselves write of it: a few, and not all of them.
+    Two successive crashes are written at once, because all entries may end before a third crash is
+    evaluated. Only entries that observed a request write its row, so that a few entries write it
+    instead of all.
 
-        rows.note_seen(request, service)
+        rows.note_observed(request, service)
         rows.update()  # after the ledger has changed
     """
 
@@ -31,14 +32,14 @@
         self._rows = rows
         self._ledger = ledger
         self._rng = rng
-        self._services: dict[RequestDigest, ServiceName] = {}  # of the requests that were seen
+        self._services: dict[RequestDigest, ServiceName] = {}  # of the observed requests
         self._written: dict[RequestDigest, CrashingRequest] = {}
-        self._to_write: dict[RequestDigest, CrashingRequest | None] = {}  # None: to be removed
+        self._to_write: dict[RequestDigest, CrashingRequest | None] = {}  # None: remove the row
         self._can_write = asyncio.Event()
         self._loop = Background("crash rows", self._run)
 
     async def start(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -46,11 +47,11 @@
         await self._loop.close()
 
     def note_observed(self, request: RequestDigest, service: ServiceName) -> None:
-        """Note that a request was running here on a target that ended."""
+        """Record that a request of this entry was running on a target that crashed."""
         self._services.setdefault(request, service)
 
     def update(self) -> None:
-        """Have written what the ledger says by now, where that is something else."""
+        """Schedule writes for the rows that differ from the ledger."""
         for request, service in list(self._services.items()):
             entry = self._entry_of(request, service)
             if entry is None and self._ledger.crash_count(request) == 0:
@@ -64,26 +65,26 @@
             self._note_to_write(request, entry)
 
     def rewrite_missing(self, listed: Set[str]) -> None:
-        """Write what this entry has written, and the list lacks."""
+        """Rewrite the rows of this entry that the list lacks."""
         for request, entry in self._written.items():
             if crashing_key(request) not in listed:
                 self._note_to_write(request, entry)
 
     def remove(self, request: RequestDigest) -> None:
-        """Have a row removed, whoever wrote it."""
+        """Schedule the removal of a row, regardless of which entry wrote it."""
         self._written.pop(request, None)
         self._note_to_write(request, None)
 
     def note_removed(self, request: RequestDigest) -> None:
-        """Note that a row is gone."""
+        """Record that a row has been removed from the store."""
         self._written.pop(request, None)
 
     def _entry_of(self, request: RequestDigest, service: ServiceName) -> CrashingRequest | None:
-        """Return what is to be written of a request, None where it is suspected of nothing."""
+        """Return the row to write for a request; None if it is not suspected."""
         before = self._written.get(request)
         is_quarantined = request in self._ledger.quarantined
         if is_quarantined and before is not None and before.is_quarantined:
-            return before  # further crashes, of requests that were under way, say nothing new
+            return before  # later crashes of attempts already in progress add nothing
         targets = tuple(self._ledger.sequential_targets(request))
         if not is_quarantined and len(targets) < SUSPECT_CRASHES:
             return None
@@ -94,7 +95,7 @@
         self._can_write.set()
 
     async def _run(self) -> None:
-        """Write, however often the store fails at first."""
+        """Write scheduled rows, retrying until the store accepts them."""
         while True:
             await self._can_write.wait()
             self._can_write.clear()
--- a/src/lacewinggw/frontend/crashupdates.py
+++ b/src/lacewinggw/frontend/crashupdates.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of crashes: times travel as spans, so no clocks are compared."""
+"""Crash reports that entries exchange; times are sent as ages, so no clocks are compared."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Served:
-    """A request that was suspected was served, at a moment by the clock of the ledger."""
+    """A suspected request that was served; `at` is by the clock of the ledger."""
 
     request: RequestDigest
     at: float
@@ -21,7 +21,7 @@
 
 @dataclass
 class CrashReport:
-    """Crashes, requests that were served since, and requests that are kept away from targets."""
+    """Crashes, suspected requests that were served since, and quarantined requests."""
 
     crashes: list[Crash] = field(default_factory=list)
     served: list[Served] = field(default_factory=list)
@@ -32,13 +32,13 @@
 
     @classmethod
     def from_ledger(cls, ledger: CrashTracker) -> "CrashReport":
-        """Return all that a ledger knows."""
+        """Return the complete contents of a ledger."""
         served = [Served(request, at) for request, at in ledger.served()]
         return cls(list(ledger.crashes()), served, list(ledger.quarantined))
 
     @classmethod
     def from_message(cls, update: messages.CrashUpdate, now: float) -> "CrashReport":
-        """Return what another entry told; raise `ProtocolViolation` when it is not sound."""
+        """Return the report in another entry's message; raise `ProtocolViolation` if invalid."""
         require_sound(update)
         return cls(
             [_decode_crash(message, now) for message in update.crashes],
@@ -50,7 +50,7 @@
         )
 
     def to_message(self, now: float) -> messages.CrashUpdate:
-        """Return the report as it is told."""
+        """Return the report as a message."""
         return messages.CrashUpdate(
             crashes=[_encode_crash(crash, now) for crash in self.crashes],
             served=[
@@ -61,14 +61,14 @@
         )
 
     def add(self, other: "CrashReport") -> None:
-        """Add what another report says."""
+        """Append the contents of another report."""
         self.crashes += other.crashes
         self.served += other.served
         self.quarantined += other.quarantined
 
 
 def merge_report(ledger: CrashTracker, report: CrashReport, now: float) -> CrashReport:
-    """Take a report into a ledger; return what of it was new."""
+    """Merge a report into a ledger; return the part that was new."""
     served = [each for each in report.served if ledger.note_served(each.request, each.at)]
     crashes = [crash for crash in report.crashes if ledger.note_crash(crash, now)]
     quarantined = [each for each in report.quarantined if ledger.quarantine(each, now)]
@@ -78,7 +78,7 @@
 def sequential_crashes(
     request: RequestDigest, targets: Iterable[TargetId], step_s: float, now: float
 ) -> list[Crash]:
-    """Return crashes of which only the order is known, `step_s` apart and just before now."""
+    """Return crashes with known order but unknown times, placed `step_s` apart just before now."""
     known = list(targets)
     ends = [now - (len(known) - number) * step_s for number in range(len(known))]
     return [
--- a/src/lacewinggw/frontend/dispatchqueue.py
+++ b/src/lacewinggw/frontend/dispatchqueue.py
@@ -1,4 +1,4 @@
-"""Where requests wait for a target: the pool's choices and the waiting lines, wired to futures."""
+"""Queue requests until a target is available; the decisions are those of the target pool."""
 
 import asyncio
 import math
@@ -18,18 +18,20 @@
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 
-# Of a request that is tried again, before all others: work was done for it, and its caller may have
-# part of the answer.
+# Retried requests go before all others: targets have already worked on them, and their callers may
+# have received part of the answer.
 RETRY_PRIORITY = -1
-REACH_CHECK_S = 0.25  # between looks for targets that cannot be reached any more, to log them
-TICK_S = 0.02  # reports age and pauses end without an event of their own
-# Until a target may run a request where none may now: after a loss of power targets are back within
-# 1.5 s, weights that are late take longer. A caller waits for a third of its time at most.
+REACH_CHECK_S = 0.25  # interval of the check that logs targets becoming (un)reachable
+TICK_S = 0.02  # reports expire and backoffs end without an event of their own
+# Bounds of the Retry-After when no target is eligible. After a power loss targets return within
+# 1.5 s; delayed weights take longer. Callers wait for a third of their time at most.
 NO_TARGET_RETRY_AFTER_S = (1.2, 2.0)
-# A burst lasts some seconds, and callers wait for a third of their time.
+# Bounds of the Retry-After when all targets are full. A burst lasts some seconds, and callers wait
+# for a third of their time.
 FULL_RETRY_AFTER_S = (MIN_RETRY_AFTER_S, 2.0)
-REOPEN_SPREAD_S = 0.5  # of callers that come back as a target takes requests again
-# A late request that starts within it found a free slot, which says nothing of those that wait.
+REOPEN_SPREAD_S = 0.5  # spreads out callers that return when a target accepts requests again
+# A late request that starts within this time found a free slot, which says nothing about how many
+# of the queued late requests start.
 IMMEDIATE_START_S = 0.03
 MS_PER_S = 1000
 
@@ -38,21 +40,21 @@
 
 @dataclass
 class _WaitingRequest:
-    """A request in a line, and what it waits for."""
+    """A request in a queue, and the future of its claim."""
 
     requirements: TargetRequirements
     found: "asyncio.Future[InFlightRequest]"
 
 
 class DispatchQueue:
-    """Gives each request a target at once, later, or not at all.
+    """Assigns each request to a target, at once or after a wait, or refuses it.
 
-    A slot of a target with an agent is asked for there, by `ask_slot`; for the others, and for
-    those whose agents are silent, requests wait here.
+    If a target has an agent, the slot is requested from the agent through `ask_slot`. For other
+    targets, and those whose agents do not respond, requests wait here.
 
-    claim = await queue.claim(wish, priority, is_late=False, until=deadline)
+    claim = await queue.claim(requirements, priority, is_late=False, until=deadline)
     ...
-    queue.end(claim)
+    queue.release(claim)
     """
 
     def __init__(self, pool: TargetPool, metrics: Metrics, ask_slot: AskSlot) -> None:
@@ -67,7 +69,7 @@
         self._loop = Background("request queue", self._run)
 
     async def start(self) -> None:
-        """Begin to look after the lines."""
+        """Start advancing the queues."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -77,10 +79,10 @@
     async def claim(
         self, requirements: TargetRequirements, priority: int, is_late: bool, until: float
     ) -> InFlightRequest:
-        """Return room at a target, waiting for one up to `until` by the loop's clock.
+        """Return a claim on a target, waiting for one until `until` by the loop's clock.
 
-        Raise `NoTarget` when none may run the request, and `Overloaded` at once when the wait
-        would be too long, or later when it was.
+        Raise `NoTarget` if no target is eligible. Raise `Overloaded` at once if the expected wait
+        is too long, or at `until` if no target became available.
         """
         now = _now()
         line = self._lines[requirements.service]
@@ -100,7 +102,7 @@
         return await self._wait_for(line, requirements, line.add(priority, is_late, until))
 
     def release(self, claim: InFlightRequest) -> None:
-        """Give back the room of a request that is over, to whoever waits for it."""
+        """Release the claim of a finished request and advance the queue of its service."""
         self._pool.end(claim)
         lease = self._leases.pop(id(claim), None)
         if lease is not None:
@@ -110,7 +112,7 @@
     async def _claim_slot(
         self, requirements: TargetRequirements, priority: int, is_late: bool, until: float
     ) -> InFlightRequest:
-        """Return a slot that an agent gives."""
+        """Return a claim on a slot that an agent grants."""
         began = _now()
         rank = max(0, priority - RETRY_PRIORITY)
         slot_request = SlotRequest(
@@ -137,10 +139,10 @@
         return claim
 
     async def _find_permitted(self, search: SlotSearch, until: float) -> Lease | None:
-        """Return a slot of a target that still takes one more request of this entry.
+        """Return a granted slot whose target still accepts a request of this entry.
 
-        While this one waited in line the target may have begun to leave, or others of this entry
-        may have taken what its limit allows.
+        While the request waited, the target may have begun to leave, or other requests of this
+        entry may have used up the target's limit. Such slots are given back.
         """
         self._searches.add(search)
         try:
@@ -153,7 +155,11 @@
             self._searches.discard(search)
 
     def drop_closed_targets(self) -> None:
-        """Have no request wait any longer for targets to which none may be sent."""
+        """Stop waiting for targets that no longer accept requests.
+
+        Slot searches try other agents. Queued requests are refused if no other target can accept
+        them in time.
+        """
         now = _now()
         for search in self._searches:
             search.withdraw_where(lambda load: not self._pool.may_send(load, now))
@@ -161,7 +167,7 @@
             self._refuse_unservable(line, now)
 
     def _refuse_unservable(self, line: WaitQueue, now: float) -> None:
-        """Refuse at once what waits for targets of which none takes it in its time."""
+        """Refuse queued requests that no target will accept before their wait ends."""
         for waiter in list(line.in_order()):
             waiting = self._waiting_requests.get(id(waiter))
             if waiting is None or waiting.found.done():
@@ -171,26 +177,29 @@
                 line.remove(waiter)
 
     def _next_open_at(self, requirements: TargetRequirements, now: float) -> float:
-        """Return when the first target may be sent a request, as far as is known."""
+        """Return when the first target is expected to accept a request; infinity if none is."""
         fitting = self._pool.eligible(requirements)
         return min((load.allowed_at(now) for load in fitting), default=math.inf)
 
     def _build_refusal(self, requirements: TargetRequirements) -> RequestRefused:
-        """Return why a request is refused and when to return, spread out: not as a second burst."""
+        """Return the error for a refused request.
+
+        Its Retry-After is random within bounds, so that callers do not return as a second burst.
+        """
         if not self._pool.eligible(requirements):
-            reason = f"no target of {requirements.service} may run the request"
+            reason = f"no target of {requirements.service} is eligible for the request"
             return NoTarget(reason, retry_after_ms=_draw_ms(NO_TARGET_RETRY_AFTER_S))
         now = _now()
         opens_in_s = self._next_open_at(requirements, now) - now
         if 0 < opens_in_s < math.inf:
-            reason = f"the targets of {requirements.service} take nothing for now"
+            reason = f"the targets of {requirements.service} accept no requests at present"
             between_s = (opens_in_s, opens_in_s + REOPEN_SPREAD_S)
             return Overloaded(reason, retry_after_ms=_draw_ms(between_s))
         reason = f"the targets of {requirements.service} are full"
         return Overloaded(reason, retry_after_ms=_draw_ms(FULL_RETRY_AFTER_S))
 
     def late_share(self, service: ServiceName) -> float:
-        """Return the share of late requests for a service that started lately."""
+        """Return the share of recent late requests for a service that were started."""
         return self._lines[service].late_share
 
     async def _wait_for(
@@ -221,7 +230,7 @@
         return claim
 
     def advance(self, service: ServiceName) -> None:
-        """Give targets to those that wait for a service, in order, as far as there is room."""
+        """Assign free targets to the queued requests of a service, in queue order."""
         line = self._lines[service]
         if not len(line):
             return
@@ -244,13 +253,13 @@
         return self._pool.begin(load, now, requirements.prefill_s)
 
     async def _run(self) -> None:
-        look_at = 0.0
+        next_check_at = 0.0
         while True:
             await asyncio.sleep(TICK_S)
             for service in list(self._lines):
                 self.advance(service)
-            if _now() >= look_at:
-                look_at = _now() + REACH_CHECK_S
+            if _now() >= next_check_at:
+                next_check_at = _now() + REACH_CHECK_S
                 self._log_reach()
 
     def _log_reach(self) -> None:
--- a/src/lacewinggw/frontend/entryupdates.py
+++ b/src/lacewinggw/frontend/entryupdates.py
@@ -1,4 +1,4 @@
-"""What an entry sends to others: its updates, and its routes to those that know older ones."""
+"""Compose the updates that an entry sends to others, and the routes for entries with older ones."""
 
 import math
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 from lacewinggw.wire.packing import pack_routes, split_parts
 
 MS_PER_S = 1000.0
-MAX_AGE_S = 3600.0  # of knowledge that was never proved
+MAX_AGE_S = 3600.0  # sent for data that was never confirmed
 
 
 def compose_entry_update(
@@ -24,9 +24,10 @@
     limits: Sequence[messages.TargetLimit],
     now: float,
 ) -> messages.EntryUpdate:
-    """Return the update of an entry; `routes_position` is how far it knows the store's changes.
+    """Return the update of an entry.
 
-    `targets_age_s` ago its list of targets was the store's. `limits` are those that targets name.
+    `routes_position` is the store position up to which it knows routes and versions. Its list of
+    targets was current in the store `targets_age_s` ago. `limits` are the rate limits of targets.
     """
     routes = knowledge.routes
     return messages.EntryUpdate(
@@ -51,10 +52,10 @@
 
 
 def digest_targets(knowledge: RoutingView) -> int:
-    """Return a number that is the same where the same targets are known, and the same leave."""
+    """Return a digest that is equal for equal sets of targets and of leaving targets."""
     leaving = knowledge.leaving
     lines = (f"{target} {target in leaving}" for target in sorted(knowledge.targets))
-    return xxhash.xxh3_64_intdigest("\n".join(lines).encode()) >> 1  # fits a signed number
+    return xxhash.xxh3_64_intdigest("\n".join(lines).encode()) >> 1  # fits a signed 64-bit integer
 
 
 def _to_age_ms(age_s: float) -> int:
@@ -62,7 +63,7 @@
 
 
 class PackedRoutes:
-    """The routes as other entries get them: packed once a version, in parts."""
+    """The routes in the form sent to other entries: packed once per version and split in parts."""
 
     def __init__(self, knowledge: RoutingView) -> None:
         self._knowledge = knowledge
@@ -70,7 +71,7 @@
         self._parts: Sequence[bytes] = ()
 
     def parts_for(self, known_version: int) -> Sequence[bytes]:
-        """Return the parts of the routes for an entry that knows a version; none if not older."""
+        """Return the parts of the routes; empty if `known_version` is not older than ours."""
         routes = self._knowledge.routes
         if routes is None or routes.version <= known_version:
             return ()
--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -1,8 +1,9 @@
-"""Fetch newer routes from entries that have them, packed, over each border once a place.
+"""Fetch newer routes from other entries, so that each place receives them once from elsewhere.
 
-Who knows something newer says so to the entries that listen to it. One that has it from its own
-place asks there. Where only another place has it, the first entry of a place fetches it and the
-others wait for that one, each rank a little longer, so that a copy is not lost with its fetcher.
+An entry with newer routes announces them to the entries that watch it. Routes are fetched from an
+entry of the same place if there is one. Otherwise the first-ranked entry of a place fetches them
+from another place, and the others wait for it, longer with each rank, so that the routes still
+arrive if that entry fails.
 """
 
 import asyncio
@@ -29,10 +30,10 @@
 from lacewinggw.wire.packing import ROUTES_LIMIT_BYTES, unpack_routes
 from lacewinggw.wire.peers import OutgoingCall, PeerLink, PeerNode
 
-# Until the next part comes. A limit for the whole would cut copies off over a full border and have
-# them begun anew without end.
+# For each part. A timeout for all parts together would abort copies over a full link between
+# places, and each retry would be aborted again.
 PART_TIMEOUT_S = 0.8
-LANE = "routes"  # a connection of its own, so that no short answer waits behind routes
+LANE = "routes"  # a separate connection, so that short answers do not wait behind routes
 
 log = get_logger(__name__)
 
@@ -40,10 +41,10 @@
 
 
 class RoutesFetcher:
-    """Fetches what other entries say that they know.
+    """Fetches routes and versions that other entries announce.
 
-    `on_fetching` is told when routes are about to be fetched; `on_taken` when they are here, with
-    the position in the store up to which all is known now, `NOWHERE` if that is not known.
+    `on_fetching` is called before routes are fetched. `on_fetched` is called when they have been
+    applied, with the store position up to which all is known, or `NOWHERE` if that is unknown.
     """
 
     def __init__(
@@ -77,11 +78,11 @@
 
     @property
     def is_fetching(self) -> bool:
-        """Whether newer routes are on their way, or another entry here is about to have them."""
+        """Whether newer routes are being fetched by this entry or another one of its place."""
         return self._is_fetching
 
     async def start(self) -> None:
-        """Begin to fetch."""
+        """Start fetching."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -89,7 +90,10 @@
         await self._loop.close()
 
     def note_update(self, entry: PeerEntry, update: messages.EntryUpdate) -> None:
-        """Note what an entry says that it knows; the age of it counts only when it was asked."""
+        """Record what another entry announces.
+
+        The ages in it are ignored: they are only valid in an answer to a question.
+        """
         if not self._is_newer(update):
             return
         if update.routes_version > self._announced_version:
@@ -124,7 +128,7 @@
                 self._is_fetching = False
 
     async def _fetch_all(self) -> None:
-        """Ask one after the other; once the first has failed, the store may be read meanwhile."""
+        """Fetch from one entry after another; after the first failure, allow reads of the store."""
         has_failed = False
         while holder := self._choose_holder():
             entry, update = holder
@@ -140,7 +144,7 @@
                 self._is_fetching = False
 
     def _choose_holder(self) -> tuple[PeerEntry, messages.EntryUpdate] | None:
-        """Return who has something newer still: one of this place if there is one."""
+        """Return an entry that has newer routes or versions, preferably one of this place."""
         for host in [
             host for host, (_, update) in self._holders.items() if not self._is_newer(update)
         ]:
@@ -165,7 +169,7 @@
             log.debug("routes_not_in_place", waited_s=wait_s)
 
     async def _fetch(self, entry: PeerEntry) -> bool:
-        """Ask an entry for all that it knows; return whether it answered."""
+        """Fetch routes and versions from an entry; return whether it answered."""
         routes = self._knowledge.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=True)
         sent_at = self._clock()
@@ -181,7 +185,7 @@
             self._failed.add()
             log.info("routes_not_fetched", entry=entry.host, error=error)
             if link is not None:
-                link.close()  # what is still on its way would hold up the next copy
+                link.close()  # parts still in flight would delay the next copy
             return False
         self._fetched.add()
         return True
@@ -207,7 +211,11 @@
 
 
 async def _receive(call: OutgoingCall) -> tuple[bytes, messages.EntryUpdate]:
-    """Return routes that come in parts, joined, and the update after them."""
+    """Return the joined parts of the routes and the update that follows them.
+
+    Raise `ProtocolViolation` for other messages or too many bytes, and `TimedOut` if the next part
+    does not arrive in time.
+    """
     parts: list[bytes] = []
     size = 0
     replies = call.replies()
@@ -220,12 +228,16 @@
                     parts.append(data)
                     size += len(data)
                     if size > ROUTES_LIMIT_BYTES:
-                        raise ProtocolViolation(f"packed routes of more than {size} bytes")
+                        raise ProtocolViolation(
+                            f"packed routes exceed the size limit with {size} bytes"
+                        )
                 case messages.EntryUpdate() as update:
                     return b"".join(parts), update
                 case _:
-                    raise ProtocolViolation(f"a {type(message).__name__} among routes")
+                    raise ProtocolViolation(
+                        f"unexpected {type(message).__name__} among the parts of routes"
+                    )
     except TimeoutError as error:
-        raise TimedOut(f"no more of the routes after {size} bytes") from error
+        raise TimedOut(f"no further part of the routes after {size} bytes") from error
     finally:
         call.abandon()
--- a/src/lacewinggw/frontend/freshness.py
+++ b/src/lacewinggw/frontend/freshness.py
@@ -1,8 +1,8 @@
-"""Learn from other entries how new the knowledge of the routes is.
+"""Check with other entries whether this entry's routes are still current.
 
-A few entries read the store often; the others ask them, which costs the store nothing and keeps an
-entry serving that the store turns away. The age of what a reply tells counts from the sending of
-the question, so no clocks are compared and a reply that was held up proves less, never more.
+A few entries read the store often. The others ask them, which causes no load on the store and lets
+an entry keep serving while the store rejects its calls. Ages in a reply count from the sending of
+the question, so no clocks are compared, and a delayed reply yields a higher age, never a lower one.
 """
 
 import asyncio
@@ -28,8 +28,8 @@
 from lacewinggw.wire.peers import PeerNode
 from lacewinggw.wire.soundness import require_sound
 
-CHECK_INTERVAL_S = 0.8  # between questions: an age then stays within the reader's wait and this
-ANSWER_TIMEOUT_S = 0.5  # between regions an answer takes some ms, over a full link some 100
+CHECK_INTERVAL_S = 0.8  # the age of the routes stays within the reader's poll time plus this
+ANSWER_TIMEOUT_S = 0.5  # answers between regions take some ms, or some 100 ms over a full link
 MS_PER_S = 1000.0
 
 log = get_logger(__name__)
@@ -38,22 +38,23 @@
 
 
 def apply_answer(knowledge: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
-    """Take what another entry answered to a question that was sent at a moment.
+    """Apply another entry's answer to a question that was sent at `sent_at`.
 
-    Who has just started counts versions that it finds named as older than they may be. Such a guess
-    is taken only by one that has just started as well: others were there and know better.
+    An entry that has just started may overestimate the age of the versions that it finds. Such a
+    guess is accepted only by an entry that has no routes yet either: entries that were running when
+    the version appeared know its age better.
 
-    Raise `ProtocolViolation` for an answer that is not sound.
+    Raise `ProtocolViolation` if the answer is invalid.
     """
     require_sound(update)
     for target in update.leaving:
         knowledge.mark_leaving(TargetId(target))
-    starts = knowledge.routes is None
+    is_starting = knowledge.routes is None
     for named in update.named:
         due = DueVersion(ModelName(named.model), named.version)
         if not named.is_guess:
             knowledge.require_version(due, sent_at - named.age_ms / MS_PER_S)
-        elif starts:
+        elif is_starting:
             knowledge.require_version(due, sent_at, old=True)
     knowledge.confirm_version(
         update.routes_version,
@@ -63,7 +64,7 @@
 
 
 class FreshnessChecker:
-    """Asks other entries how old their routes are; `on_heard` is told of each answer."""
+    """Asks other entries how old their routes are; `on_answer` is called with each answer."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
         self._loop = Background("vouching", self._run)
 
     async def start(self) -> None:
-        """Begin to ask."""
+        """Start asking."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -105,7 +106,7 @@
 
     @property
     def _is_up_to_date(self) -> bool:
-        """Whether this entry reads the store for its place, and the store answers it."""
+        """Whether this entry reads the store for its place and the store answers."""
         fresh = self._knowledge.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
         return fresh and is_route_reader(self._me, self._others())
 
--- a/src/lacewinggw/frontend/leavingtargets.py
+++ b/src/lacewinggw/frontend/leavingtargets.py
@@ -1,4 +1,4 @@
-"""Targets that leave: noted once, whoever says so, with a log line that says who."""
+"""Record which targets are leaving, once per target, and log which source reported it."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -12,27 +12,28 @@
 
 
 class LeavingSource(Enum):
-    """Who said that a target leaves."""
+    """The source that reported a target as leaving."""
 
     LIST = "list"  # the operators' store
-    AGENT = "agent"  # the process beside the target
+    AGENT = "agent"  # the agent process of the target
     ENTRY = "entry"  # another entry
     ANSWER = "answer"  # the target itself
-    ADDRESS = "address"  # another start of a target answers there
+    ADDRESS = "address"  # another target answers at its address
 
 
-# What came from another entry, or from an agent that tells all entries near, goes on with the usual
-# updates: if each entry passed it on at once, all would tell all others of each target that leaves.
+# Sources whose reports are sent to other entries at once. Reports of another entry, or of an agent,
+# which notifies all nearby entries, go out with the periodic updates. If each entry forwarded them
+# at once, every entry would notify every other one of each leaving target.
 URGENT_SOURCES = frozenset({LeavingSource.LIST, LeavingSource.ANSWER, LeavingSource.ADDRESS})
 
 
 class LeavingTargets:
-    """Notes which targets leave, in the knowledge of this entry.
+    """Records which targets are leaving in this entry's view of the fleet.
 
-    `on_leaving` is called whenever there are new ones, `on_urgent` when other entries are to be
-    told at once.
+    `on_leaving` is called when there are new ones, and `on_urgent` when other entries must be
+    notified at once.
 
-        departures.note(target, LeavingSource.ENTRY)
+        leaving_targets.mark_leaving(target, LeavingSource.ENTRY)
     """
 
     def __init__(
@@ -51,14 +52,14 @@
         }
 
     def mark_leaving(self, target: TargetId, source: LeavingSource) -> None:
-        """Note that a target takes no new work."""
+        """Record that a target accepts no new requests."""
         if target in self._knowledge.leaving:
             return
         self._knowledge.mark_leaving(target)
         self.publish_new(source)
 
     def publish_new(self, source: LeavingSource) -> None:
-        """Log and pass on what the knowledge has just taken from a source."""
+        """Log and report the targets that have newly become leaving, as reported by `source`."""
         leaving = frozenset(self._knowledge.leaving)
         new = leaving - self._logged
         self._logged = leaving
--- a/src/lacewinggw/frontend/neighbours.py
+++ b/src/lacewinggw/frontend/neighbours.py
@@ -1,6 +1,6 @@
-"""What entries and agents tell this entry directly: who is ready, and how busy targets are.
+"""Exchange updates with other entries: their readiness, their routes and leaving targets.
 
-Links break and processes freeze, so everything heard has an age, and what is too old is not used.
+Links break and processes freeze, so every received update has an age, and old ones are ignored.
 """
 
 import asyncio
@@ -19,15 +19,13 @@
 from lacewinggw.wire.peers import PeerLink, PeerNode
 
 UPDATE_INTERVAL_S = 0.5  # between updates without a change
-MAX_UPDATE_AGE_S = (
-    1.6  # updates older than three of these intervals say nothing: the entry may be gone
-)
+MAX_UPDATE_AGE_S = 1.6  # after three missed updates the entry may be gone
 MS_PER_S = 1000
 
 
 @dataclass
 class _ReceivedUpdate:
-    """The last update of an entry."""
+    """The last update received from an entry, and when it arrived."""
 
     place: Place
     address: Address
@@ -50,8 +48,8 @@
 class EntryNeighbours:
     """Keeps links to other entries and exchanges updates on them.
 
-    `compose` gives the update of this entry; `on_update` gets each that comes, and from whom.
-    `greet` gives what an entry that begins to listen is told besides, if there is anything.
+    `compose` returns the update of this entry. `on_update` is called with each received update and
+    its sender. `compose_initial` returns an additional message for new subscribers, or None.
     """
 
     def __init__(
@@ -81,7 +79,7 @@
         self._loop = Background("entry news", self._run)
 
     async def start(self) -> None:
-        """Begin to tell and to listen."""
+        """Start sending and receiving updates."""
         self._watches.start()
         self._loop.start()
 
@@ -91,7 +89,7 @@
         await self._watches.close()
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Keep in touch with all entries of this place, and with those of each other that read."""
+        """Watch all entries of this place, and the readers of each other place."""
         per_place: dict[Place, int] = {}
         wanted: set[WatchedAgent] = set()
         for member in sorted(members, key=lambda each: reader_sort_key(each.host)):
@@ -106,11 +104,11 @@
         self._watches.set_targets(wanted or self._reverse_watches)
 
     def schedule_update(self) -> None:
-        """Tell the others soon: what this entry tells has changed."""
+        """Send an update soon, because its content has changed."""
         self._changed.set()
 
     def apply_watch(self, link: PeerLink, watch: messages.Watch) -> None:
-        """Send updates over a link from now on, some at once, or stop."""
+        """Start or stop sending updates over a link; the first one is sent at once."""
         if watch.stop:
             self._subscribers.discard(link)
             return
@@ -122,10 +120,10 @@
         self._subscribe_back(link)
 
     def _subscribe_back(self, link: PeerLink) -> None:
-        """Listen to whoever listens here, while the store has told of nobody.
+        """Watch an entry that watches this one, as long as the store has listed no others.
 
-        An entry that starts while the store turns it away has no list of the others; they have it
-        on theirs, and know the routes.
+        An entry that starts while the store rejects its calls has no list of entries. The others
+        have it on their list, and have the routes.
         """
         if self._has_members:
             return
@@ -135,7 +133,7 @@
         self._watches.set_targets(self._reverse_watches)
 
     def apply_update(self, link: PeerLink, update: messages.EntryUpdate) -> None:
-        """Take the update of another entry."""
+        """Record the update of another entry and pass it to `on_update`."""
         remote = link.remote
         received = _ReceivedUpdate(
             Place(remote.place), Address(remote.address), update, self._clock()
@@ -144,12 +142,12 @@
         self._on_update(_to_known_entry(HostId(remote.host), received, received.at), update)
 
     def broadcast(self, update: messages.CrashUpdate | messages.EntryUpdate) -> None:
-        """Send something to all entries that listen."""
+        """Send a message to all subscribed entries."""
         self._subscribers = {link for link in self._subscribers if not link.closed.is_set()}
         self._node.notify_all(self._subscribers, update)
 
     def ready_entries(self) -> Sequence[ReadyEntry]:
-        """Return the other entries that are ready, by updates that are fresh."""
+        """Return the other entries whose recent update states that they are ready."""
         now = self._clock()
         return [
             ReadyEntry(host, received.place, Address(received.update.caller_address))
@@ -158,7 +156,7 @@
         ]
 
     def active_entries(self) -> Sequence[PeerEntry]:
-        """Return the other entries that were heard lately."""
+        """Return the other entries that sent an update recently."""
         now = self._clock()
         return [
             _to_known_entry(host, received, now)
--- a/src/lacewinggw/frontend/offers.py
+++ b/src/lacewinggw/frontend/offers.py
@@ -1,12 +1,12 @@
-"""One offer of a request to one target, and what became of it.
+"""Offer a request to one target and classify the outcome.
 
-`offer` sends the request and returns once the head of the answer is there. What came back is one of
-a few kinds, so that whoever decides on repeats knows what is proved:
+`Offers.send` sends the request and returns once the head of the answer has arrived. The kind of the
+outcome states what is proved, so that the caller can decide whether a retry is safe:
 
-    match await offers.send(job, load):
-        case NotRun(): ...      # proved: the target did not run it
-        case Answer(): ...      # a head, with the body still to come
-        case Lost(): ...        # nothing is known
+    match await offers.send(admitted, load, options, timeouts):
+        case NotExecuted(): ...     # proved: the target did not run it
+        case Answer(): ...          # the head; the body is still to come
+        case OutcomeUnknown(): ...  # it may have run
 """
 
 import asyncio
@@ -36,25 +36,24 @@
     StreamedResponse,
 )
 
-CONNECT_TIMEOUT_S = (
-    0.25  # it takes some ms; over a link with a queue of a second nothing is to be sent
-)
-BODY_LIMIT_BYTES = 16 << 20  # of an answer that is held until it is whole
+CONNECT_TIMEOUT_S = 0.25  # takes a few ms; a link with a queue of a second is unusable
+BODY_LIMIT_BYTES = 16 << 20  # of an answer that is buffered until it is complete
 OK = 200
-BUSY = 503  # what a target without room answers
+BUSY = 503  # status of a target without a free slot
 FIRST_ERROR = 400
 
 
 class _TargetClosed(Exception):
-    """A target takes nothing any more, as was heard while a connection to it was opened."""
+    """The target stopped accepting requests while the connection to it was opened."""
 
 
 @dataclass(frozen=True)
 class NotExecuted:
-    """The target did not run the request, and proved it.
+    """The target did not run the request, and this is proved.
 
-    `full` where it had no room, `is_gone` where another target answers at its address by now; it
-    had not even `arrived` where no connection opened, or the target `is_closed` by then.
+    `is_full`: the target had no free slot. `is_replaced`: another target answers at its address.
+    `has_reached_target` is false if no connection was opened, or if the target stopped accepting
+    requests before the request was sent (`is_closed`).
     """
 
     reason: str
@@ -66,7 +65,7 @@
 
 @dataclass(frozen=True)
 class OutcomeUnknown:
-    """The request may have run; there is no answer. `silent` where none came in time."""
+    """The request may have run, but there is no answer; `has_timed_out` if none came in time."""
 
     reason: str
     has_timed_out: bool = False
@@ -87,13 +86,13 @@
         return self.status < FIRST_ERROR
 
     async def close(self) -> None:
-        """Give up the rest of the body."""
+        """Discard the rest of the body."""
         await self.response.aclose()
 
 
 @dataclass(frozen=True)
 class OfferOptions:
-    """What differs from one offer of a request to the next."""
+    """What differs between the offers of one request."""
 
     version: int | None = None
     resume_after: int | None = None
@@ -102,7 +101,7 @@
 
 @dataclass(frozen=True)
 class OfferTimeouts:
-    """How long to wait, in seconds: for the head of the answer, and between parts of its body."""
+    """Timeouts in seconds: for the head of the answer, and between parts of its body."""
 
     head_s: float
     idle_s: float
@@ -111,8 +110,8 @@
 class Offers:
     """Sends requests to targets, each on a connection of its own.
 
-    A fresh connection holds nothing that belongs to another request, and one that fails to open
-    proves that nothing was sent.
+    A new connection carries no data of another request, and a failure to open it proves that
+    nothing was sent.
     """
 
     def __init__(
@@ -130,7 +129,7 @@
         options: OfferOptions,
         timeouts: OfferTimeouts,
     ) -> Answer | NotExecuted | OutcomeUnknown:
-        """Offer the request; return once the head of the answer is there, or will not come."""
+        """Offer the request; return once the head of the answer arrived or the offer failed."""
         now = asyncio.get_running_loop().time()
         dispatch = DispatchFacts(
             target=load.entry.name,
@@ -156,7 +155,7 @@
             )
         except _TargetClosed:
             return NotExecuted(
-                "the target takes nothing any more", has_reached_target=False, is_closed=True
+                "the target stopped accepting requests", has_reached_target=False, is_closed=True
             )
         except NotConnectedError as error:
             ended_at = asyncio.get_running_loop().time()
@@ -169,7 +168,7 @@
         return await self._classify(admitted, load, response, asked_at)
 
     def _check_open(self, load: TargetLoad, took_s: float, now: float) -> None:
-        """Look once more whether the request may be sent, now that it could be."""
+        """Check again whether the target accepts requests, once the connection is open."""
         load.note_connect(took_s, now)
         if not self._pool.may_send(load, now):
             raise _TargetClosed
@@ -200,7 +199,7 @@
 
 
 async def read_whole(answer: Answer) -> bytes:
-    """Return the body of an answer; raise `AnswerIncomplete` when it breaks off."""
+    """Return the complete body of an answer; raise `AnswerIncomplete` if it ends early."""
     try:
         return await answer.response.read(BODY_LIMIT_BYTES)
     except (OSError, HttpError, TimeoutError) as error:
@@ -210,7 +209,7 @@
 
 
 async def read_events(answer: Answer) -> AsyncIterator[list[StreamEvent]]:
-    """Yield the events of an answer as they come; raise `AnswerIncomplete` when it breaks off."""
+    """Yield the events of an answer as they arrive; raise `AnswerIncomplete` if it ends early."""
     splitter = EventSplitter()
     try:
         async with aclosing(answer.response.pieces()) as pieces:
--- a/src/lacewinggw/frontend/process.py
+++ b/src/lacewinggw/frontend/process.py
@@ -1,4 +1,4 @@
-"""The entry process of a declared fleet: its knowledge, its queue and its sockets."""
+"""The entry process of a declared fleet: its view of the fleet, its queue and its sockets."""
 
 import asyncio
 import math
@@ -53,11 +53,9 @@
 
 MS_PER_S = 1000.0
 PERCENT = 100.0
-EXTRA_RETRIES_SHARE = (
-    0.8  # of the fleet's extra retries: entries may count one another wrongly for a while
-)
-ACCEPT_WHILE_LEAVING_S = 2.5  # callers that hold an old answer still come
-CLOSE_MARGIN_S = 0.7  # before the kill, for what is left to be closed in order
+EXTRA_RETRIES_SHARE = 0.8  # of the fleet's limit, since entries may miscount each other for a while
+ACCEPT_WHILE_LEAVING_S = 2.5  # callers with a cached directory answer still connect
+CLOSE_MARGIN_S = 0.7  # before the process is killed, to close what is left in order
 
 log = get_logger(__name__)
 
@@ -66,7 +64,7 @@
 
 @dataclass(frozen=True)
 class FrontendAdapter:
-    """How the operators' platform speaks: its store, its heads of requests, and its two pages."""
+    """The operators' platform: its store, its request headers, and its two pages."""
 
     feed: FleetFeed
     rows: OwnRows
@@ -77,7 +75,7 @@
 
 
 class FrontendProcess:
-    """Everything that runs on one entry host of a declared fleet.
+    """Runs all components of one entry of a declared fleet.
 
     entry = FrontendProcess.from_config(settings, adapter)
     await entry.start()
@@ -159,20 +157,20 @@
 
     @classmethod
     def from_config(cls, settings: Settings, adapter: FrontendAdapter) -> "FrontendProcess":
-        """Build the process that the settings describe."""
+        """Return the process that the settings describe."""
         return cls(settings, adapter, TcpNetwork(), read_boot_clock, random.SystemRandom())
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
-        knows = self.knowledge.can_accept_keys(self._clock()) and self._store.has_targets
-        return knows and not self._is_leaving
+        """Whether the directory may direct callers to this entry."""
+        is_loaded = self.knowledge.can_accept_keys(self._clock()) and self._store.has_targets
+        return is_loaded and not self._is_leaving
 
-    # ---- parts ----------------------------------------------------------------------------
+    # ---- components ----------------------------------------------------------------------------
 
     @property
     def _agent_port(self) -> str:
-        """The port on which agents listen: that of entries."""
+        """The port on which agents listen, which is the same as that of entries."""
         return self._settings.entry.peer_listen.rpartition(":")[2]
 
     def _make_neighbours(self) -> EntryNeighbours:
@@ -302,10 +300,10 @@
             HttpServer(self._network, self._settings.entry.operator_listen, pages.handle),
         ]
 
-    # ---- life -----------------------------------------------------------------------------
+    # ---- life cycle -----------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Begin to follow the store, then to take callers."""
+        """Start following the store, then accept callers."""
         self._read_policy.note_start()
         await self._store.start()
         await self._node.start(self._settings.entry.peer_listen)
@@ -321,7 +319,7 @@
         await self._announcer.start()
 
     async def drain(self) -> None:
-        """Be ready no more, take callers that still come for a while, and end what is running."""
+        """Report not ready, accept late callers for a while, and finish the running requests."""
         self._is_leaving = True
         self._neighbours.schedule_update()
         self._callers.disable_keep_alive()
@@ -330,7 +328,7 @@
         await self._callers.close(grace_s - ACCEPT_WHILE_LEAVING_S - CLOSE_MARGIN_S)
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         await self._callers.close()
         await self._announcer.close()
         await self._store.close()
@@ -364,9 +362,9 @@
         )
 
     def apply(self, settings: Settings) -> None:
-        """Take in changed settings: the bounds of the fleet, and what a caller is told.
+        """Apply changed settings: the bounds of the fleet and the lifetime of directory answers.
 
-        Addresses stay as they are until the next start.
+        Changed addresses take effect at the next start.
         """
         self._settings.fleet = settings.fleet
         self._settings.entry.address_ttl_ms = settings.entry.address_ttl_ms
@@ -381,13 +379,14 @@
         )
 
     def _count_entries(self) -> int:
-        """Return how many entries there are; 0 while that is not known."""
+        """Return the number of entries; 0 until the list has been read."""
         return len(self._store.members)
 
     def _connections_of(self, service: ServiceName) -> float:
-        """Return this entry's part of the connections that each target of a service takes.
+        """Return this entry's share of the connections that each target of a service allows.
 
-        One at least: with more entries than connections few of them are busy there at one time.
+        The share is at least one: with more entries than connections, few entries use the same
+        target at a time.
         """
         routes = self.knowledge.routes
         declared = routes.services.get(service) if routes else None
@@ -399,7 +398,7 @@
         return [self._host, *(entry.host for entry in self._neighbours.ready_entries())]
 
     def _listed_entries(self) -> Sequence[PeerEntry] | None:
-        """Return the entries that the store lists; None while the list is not here."""
+        """Return the entries that the store lists; None until the list has been read."""
         if not self._store.has_members:
             return None
         return [
@@ -409,14 +408,14 @@
         ]
 
     def _on_routes_fetched(self, position: StorePosition) -> None:
-        """Go on from what another entry knew, and hand it on in this place."""
+        """Continue from the position of fetched routes, and notify the entries of this place."""
         self._store.advance_routes(position)
         self._agents.schedule_update()
         if self._read_policy.is_reader:
             self._neighbours.schedule_update()
 
     def _on_store_restored(self, keys: Set[str]) -> None:
-        """Write again what is ours and not in a store that came back from an older copy."""
+        """Rewrite this process's rows that a store restored from an older copy lacks."""
         if self._host not in keys:
             self._announcer.announce_again()
         self._crashes.rewrite_missing(keys)
@@ -427,7 +426,9 @@
 
     def _readiness(self) -> Readiness:
         version = self.knowledge.routes.version if self.knowledge.routes else 0
-        reason = "" if self.is_ready else "the routes or the targets are not known, or it leaves"
+        reason = (
+            "" if self.is_ready else "routes or targets are not loaded, or the entry is leaving"
+        )
         return Readiness(self.is_ready, reason, version)
 
     # ---- callers --------------------------------------------------------------------------
@@ -442,11 +443,11 @@
         return self._settings.entry.address_ttl_ms / MS_PER_S
 
     def resolve(self, domain: str, place: Place) -> Sequence[Address]:
-        """Return the addresses at which a caller in `place` may ask."""
+        """Return the addresses of entries that a caller in `place` may use."""
         entries = list(self._neighbours.ready_entries())
         if self.is_ready:
-            mine = self._member()
-            entries.append(ReadyEntry(self._host, self._place, mine.caller_address))
+            member = self._member()
+            entries.append(ReadyEntry(self._host, self._place, member.caller_address))
         return choose_entries(entries, place, self._regions)
 
     # ---- other processes ------------------------------------------------------------------
@@ -484,7 +485,10 @@
         )
 
     def _apply_update(self, entry: PeerEntry, update: messages.EntryUpdate) -> None:
-        """Take what other entries push; the age of the routes counts only when it was asked for."""
+        """Apply an update that another entry pushed.
+
+        The age of the routes in it is ignored: it is only valid in an answer to a question.
+        """
         self._store.era.note(update.store_era)
         for target in update.leaving:
             self._leaving_targets.mark_leaving(TargetId(target), LeavingSource.ENTRY)
@@ -506,6 +510,6 @@
 async def run_frontend(
     settings: Settings, adapter: FrontendAdapter, path: str, load: Callable[[], Settings]
 ) -> None:
-    """Run an entry until it is asked to leave; `load` reads the file at `path` again."""
+    """Run an entry until it is signalled to stop; `load` rereads the settings file at `path`."""
     process = FrontendProcess.from_config(settings, adapter)
     await run_process(process, settings, "entry", path, load)
--- a/src/lacewinggw/frontend/readpolicy.py
+++ b/src/lacewinggw/frontend/readpolicy.py
@@ -1,4 +1,4 @@
-"""What an entry reads from the store itself, by who else is heard in its place."""
+"""Decide what an entry reads from the store itself, by which entries of its place are active."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -19,10 +19,11 @@
 
 
 class StoreReadPolicy:
-    """Tells whether this entry is to read, or others read for it.
+    """Decides whether this entry reads the store or relies on other entries.
 
-    `heard` are the entries that were heard lately; `listed` those that the store lists, None while
-    the list is not here; `is_fetching` tells whether routes are on their way from another entry.
+    `active_entries` returns the entries that sent an update recently; `listed_entries` those that
+    the store lists, or None until the list has been read; `is_fetching` whether routes are being
+    fetched from another entry.
     """
 
     def __init__(
@@ -44,22 +45,22 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this entry reads for the others of its place."""
+        """Whether this entry is a designated reader of its place."""
         return is_route_reader(self._me, self._active_entries())
 
     def note_start(self) -> None:
-        """Note that the process starts now."""
+        """Record that the process starts now."""
         self._started_at = self._clock()
 
     def is_frequent_reader(self) -> bool:
-        """Return whether this entry reads for its place, or nobody vouches for what it knows."""
+        """Return whether this entry reads for its place, or no peer confirms its routes."""
         rank = rank_in_place(self._me, self._active_entries())
         if rank < READERS_PER_PLACE:
             return True
         return self._knowledge.routes_observed_age_s(self._clock()) >= fallback_age_s(rank)
 
     def should_read_routes(self) -> bool:
-        """Return whether this entry is to read the routes now, as nobody brings them."""
+        """Return whether this entry is to read the routes now, because no entry sends them."""
         if self._is_fetching():
             return False
         if self._knowledge.routes is not None:
@@ -69,7 +70,7 @@
         return self._clock() - self._started_at >= start_delay_s(rank)
 
     def is_list_confirmed(self) -> bool:
-        """Return whether the list of targets need not be read now."""
+        """Return whether another entry confirms the list of targets, so it need not be read now."""
         if self.is_frequent_reader():
             return False
         return is_target_list_confirmed(digest_targets(self._knowledge), self._active_entries())
--- a/src/lacewinggw/frontend/relay.py
+++ b/src/lacewinggw/frontend/relay.py
@@ -1,7 +1,7 @@
-"""One request from its arrival to its end: admitted, placed, offered, repeated, answered.
+"""Serve one caller request: admit it, choose a target, send it, retry it, and forward the answer.
 
-Every end goes through here. "Not run" is said only of a request that was never offered, or whose
-every offer was proved not to have run.
+Every request ends in this module. A caller is sent a "not run" error only if the request was never
+offered to a target, or if every target it was offered to proved that it did not run it.
 """
 
 import asyncio
@@ -48,14 +48,14 @@
 log = get_logger(__name__)
 
 MS_PER_S = 1000
-RETRY_AFTER_MS = 400  # where nothing is known of when there is room
+RETRY_AFTER_MS = 400  # used when it is unknown when a target will have a free slot
 REPEAT_REMEDY = "it may have run: repeat it only if it is idempotent"
 CONNECTION_HEADERS = frozenset({"connection", "keep-alive", "transfer-encoding", "content-length"})
 
 
 @dataclass(frozen=True)
 class RelayDependencies:
-    """What a relay works with."""
+    """Components that a request relay uses."""
 
     codec: CallCodec
     knowledge: RoutingView
@@ -73,7 +73,7 @@
 class RequestRelay:
     """Serves requests of callers.
 
-    relay = Relay(parts)
+    relay = RequestRelay(deps)
     await relay.serve(call, caller)
     """
 
@@ -84,7 +84,10 @@
         self._first_part = deps.metrics.latency("first_part")
 
     async def serve(self, call: Call, caller: CallerConnection) -> None:
-        """Answer one request, unless its caller leaves first."""
+        """Answer one request.
+
+        Raise `CallerDisconnected` if the caller closes its connection first.
+        """
         work = asyncio.ensure_future(self._serve(call, caller))
         watch = asyncio.ensure_future(caller.wait_for_disconnect())
         try:
@@ -115,7 +118,7 @@
             raise
         except Exception:
             log.exception("request_broke", request_id=call_id)
-            await self._refuse(call, call_id, LacewingError("the process failed"), caller)
+            await self._refuse(call, call_id, LacewingError("internal error"), caller)
         else:
             self._answered.add()
             self._log_answered(state)
@@ -144,7 +147,7 @@
         )
 
     async def _end_timed_out(self, state: RequestProgress, caller: CallerConnection) -> None:
-        """End a request whose time is over."""
+        """End a request whose deadline has passed."""
         call, call_id = state.admitted.call, state.admitted.facts.call_id
         if caller.has_started_answer:
             log.info("stream_out_of_time", request_id=call_id, last_event=state.last_event)
@@ -195,18 +198,18 @@
                     return None
             finally:
                 self._deps.queue.release(claim)
-            # Known by now, the last target may be one of several that ended under the request.
+            # The crash check of the last offer has finished, so the request may be quarantined now.
             is_quarantined = self._deps.crashes.is_quarantined(state.admitted)
             if is_quarantined or not self._deps.placer.take_retry(state):
                 return await self._give_up(state, caller)
 
     async def _claim(self, state: RequestProgress) -> InFlightRequest:
-        """Return room at a target for a request that is not kept away from targets."""
+        """Return a claim on a target; raise `RequestQuarantined` if the request is quarantined."""
         deps = self._deps
         deps.crashes.require_not_quarantined(state.admitted)
         claim = await deps.placer.claim(state)
         try:
-            # It waited, and others may have found meanwhile that it ends targets.
+            # Other entries may have quarantined the request while it waited.
             deps.crashes.require_not_quarantined(state.admitted)
         except RequestQuarantined:
             deps.queue.release(claim)
@@ -214,7 +217,7 @@
         return claim
 
     async def _give_up(self, state: RequestProgress, caller: CallerConnection) -> None:
-        """Tell the caller that its request failed, in the target's own words if there are any."""
+        """Report the failure to the caller, with the target's own error answer if there is one."""
         if state.failure is not None and not caller.has_started_answer:
             failure = state.failure
             headers = _headers_to_caller(failure.headers)
@@ -223,19 +226,19 @@
             raise TargetFailed("the target failed the request", remedy=REPEAT_REMEDY)
         self._deps.crashes.require_not_quarantined(state.admitted)
         if state.can_retry:
-            raise RetryBudgetSpent("too many requests are tried again", retry_after_ms=500)
-        raise TargetRefused("no target took the request", retry_after_ms=RETRY_AFTER_MS)
+            raise RetryBudgetSpent("the retry budget is spent", retry_after_ms=500)
+        raise TargetRefused("no target accepted the request", retry_after_ms=RETRY_AFTER_MS)
 
     async def _offer(
         self, state: RequestProgress, claim: InFlightRequest, caller: CallerConnection
     ) -> bool:
-        """Offer the request to a target; return whether the caller has its answer."""
+        """Offer the request to a target; return whether the caller got its complete answer."""
         load = claim.load
         state.offers += 1
         state.offered_at = _now()
         state.tried_targets.add(load.entry.target)
-        placing = self._deps.placer
-        options, timeouts = placing.offer_options(state), placing.offer_timeouts(state, load)
+        placer = self._deps.placer
+        options, timeouts = placer.offer_options(state), placer.offer_timeouts(state, load)
         state.runs += 1
         outcome = await self._deps.offers.send(state.admitted, load, options, timeouts)
         self._deps.pool.note_prompt_read(claim)
@@ -267,7 +270,7 @@
                     await answer.close()
 
     async def _check_for_crash(self, state: RequestProgress, load: TargetLoad) -> None:
-        """Have it found out whether the target ended under the request."""
+        """Check whether the connection broke because the target crashed."""
         began_at = self._deps.clock() - (_now() - state.offered_at)
         await self._deps.crashes.note_connection_lost(state.admitted, load.entry, began_at)
 
@@ -289,7 +292,10 @@
         self._log_offer(state, load, "not-run", proof.reason)
 
     def _note_replaced(self, load: TargetLoad) -> None:
-        """Leave a start of a target that is over, though the list still has it for some seconds."""
+        """Mark a target incarnation as leaving because another one answers at its address.
+
+        The list of targets may contain the old incarnation for some more seconds.
+        """
         log.info("target_gone", target=load.entry.target, address=load.entry.address)
         self._deps.leaving_targets.mark_leaving(load.entry.target, LeavingSource.ADDRESS)
 
@@ -308,7 +314,7 @@
         log.info(
             "offer_ended",
             request_id=state.admitted.facts.call_id,
-            # The next attempt has another id: this tells that it is the same request.
+            # Each attempt of the caller has its own id; the digest identifies the request.
             digest=state.admitted.digest,
             target=load.entry.target,
             outcome=outcome,
@@ -332,7 +338,7 @@
             self._note_failed(state, load, f"the target answered {answer.status}")
             return False
         if not answer.facts.sealed:
-            raise AnswerIncomplete("the answer lacks the target's mark")
+            raise AnswerIncomplete("the answer has no response seal")
         self._deps.pool.note_success(load)
         await caller.answer(answer.status, _headers_to_caller(answer.headers), body)
         return True
@@ -340,7 +346,7 @@
     async def _forward_stream(
         self, state: RequestProgress, load: TargetLoad, answer: Answer, caller: CallerConnection
     ) -> None:
-        """Pass events on as they come; those that the caller has already are left out."""
+        """Forward events as they arrive, without those that the caller already received."""
         async for events in read_events(answer):
             load.note_data(_now())
             data = b"".join(event.data for event in events if _is_next(state, event.number))
@@ -359,7 +365,10 @@
 
 
 def _is_next(state: RequestProgress, number: int | None) -> bool:
-    """Return whether an event is to be passed on, and note it as passed on."""
+    """Return whether the caller still needs an event, and record it as the last one sent.
+
+    Raise `AnswerIncomplete` if an event is missing before it.
+    """
     if number is None:
         return True
     if state.last_event is not None and number <= state.last_event:
--- a/src/lacewinggw/frontend/requestplacer.py
+++ b/src/lacewinggw/frontend/requestplacer.py
@@ -1,4 +1,4 @@
-"""Where a request goes next, how long it waits for that, and what a target is told and allowed."""
+"""Choose the target of a request, how long to wait for it, and the options of the offer."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,23 +18,24 @@
 from lacewinggw.frontend.requeststate import RequestProgress
 from lacewinggw.ids import ServiceName
 
-IDLE_OBJECTIVES = 3.0  # of the route's objective: a target that is silent longer is left
+IDLE_OBJECTIVES = 3.0  # multiples of the route's objective; then another target is tried
 MIN_IDLE_TIMEOUT_S = 0.6
-MIN_TIMEOUT_S = 0.001  # a time limit of nothing would not even send the request
-MAX_RESUME_WAIT_S = 1.5  # a caller gives a stream up after a pause of two seconds or more
-# A caller gives a stream up after the longest of these without an event (the operators' figures).
+MIN_TIMEOUT_S = 0.001  # with a timeout of 0 the request would not be sent at all
+MAX_RESUME_WAIT_S = 1.5  # callers give a stream up after a gap of at least 2 s
+# Callers give a stream up after the longest of these gaps without an event, as the operators state:
+# a fixed time, a multiple of the route's objective, and a multiple of the route's usual gap.
 MIN_GAP_S = 2.0
 GAP_OBJECTIVES = 4.0
 GAP_PAUSES = 8.0
-LAST_OFFER_MARGIN_S = 0.6  # before that: what is offered later has its first event too late, mostly
+LAST_OFFER_MARGIN_S = 0.6  # a later offer mostly yields its first event too late
 MOST_URGENT = 0
-URGENCY_BASE = 2  # of a request with priority 0 that nobody has worked on yet
+URGENCY_BASE = 2  # of a request with priority 0 that has not run anywhere yet
 LEAST_URGENT = 9
 
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """Retries in a window: a share of requests, and a number more for all entries together."""
+    """Retries allowed in a window: a share of requests, plus a number shared by all entries."""
 
     share: float
     extra: float
@@ -44,8 +45,8 @@
 class RequestPlacer:
     """Chooses targets for requests and counts retries against the budget.
 
-    claim = await placing.claim(job)
-    sending, limits = placing.sending(job), placing.limits(job, claim.load)
+    claim = await placer.claim(state)
+    options, timeouts = placer.offer_options(state), placer.offer_timeouts(state, claim.load)
     """
 
     def __init__(
@@ -67,13 +68,17 @@
         self._times = CallerTimeouts()
 
     async def claim(self, state: RequestProgress) -> InFlightRequest:
-        """Return room at a target that takes the request now, waiting for one in the queue."""
+        """Return a claim on a target that accepts the request, waiting in the queue for one.
+
+        Raise `DeadlineTooNear` if the caller is about to give up.
+        """
         admitted = state.admitted
         requirements = self._requirements(state)
         now = _now()
         left_s = admitted.deadline - now
         if state.runs:
-            # Work was done for it: it goes on wherever there is room, while its caller waits.
+            # The request has already run in part, so any target with a free slot may continue it
+            # as long as the caller waits.
             until = min(admitted.deadline, now + MAX_RESUME_WAIT_S)
             if state.last_event is None:
                 until = min(until, first_event_deadline(admitted) - LAST_OFFER_MARGIN_S)
@@ -93,9 +98,9 @@
         return claim
 
     def take_retry(self, state: RequestProgress) -> bool:
-        """Return whether a request may be offered once more, and count it if so.
+        """Return whether the request may be offered again, and charge the retry budget if so.
 
-        An offer that reached no target put no load on one: another in its place is not a retry.
+        An offer that reached no target caused no load, so replacing it is not counted as a retry.
         """
         if not state.has_reached_target:
             return state.can_retry
@@ -134,7 +139,7 @@
         return table.services.get(name) if table else None
 
     def _least_version(self, state: RequestProgress) -> int:
-        """Return the oldest version of the model that a request may still begin on."""
+        """Return the oldest version of the model on which a request may still start."""
         model = state.admitted.facts.model
         if model is None:
             return 0
@@ -150,7 +155,7 @@
         return budget
 
     def offer_options(self, state: RequestProgress) -> OfferOptions:
-        """Return what the next target is told of a request beside the caller's own head."""
+        """Return what the next offer of a request adds to the caller's own headers."""
         facts = state.admitted.facts
         resume_after = state.last_event if state.last_event is not None else facts.last_event
         least = self._least_version(state)
@@ -160,9 +165,10 @@
         return OfferOptions(version, resume_after, urgency)
 
     def offer_timeouts(self, state: RequestProgress, load: TargetLoad) -> OfferTimeouts:
-        """Return how long a target may be silent: to the end where nobody else may be asked.
+        """Return the timeouts of an offer to a target.
 
-        What has not begun when the target's weights run out must not begin at all.
+        If no other target may be tried, the target may be idle until the deadline. The answer must
+        start before the weights of the target become too old to start on.
         """
         rest_s = max(MIN_TIMEOUT_S, state.admitted.deadline - _now())
         idle_s = rest_s
@@ -178,7 +184,7 @@
 
 
 def first_event_deadline(admitted: AdmittedRequest) -> float:
-    """Return when a caller gives up a stream of which it has no event yet."""
+    """Return when the caller gives up a stream that has sent it no event, by the loop's clock."""
     route = admitted.route
     if not route.streams:
         return admitted.deadline
--- a/src/lacewinggw/frontend/requeststate.py
+++ b/src/lacewinggw/frontend/requeststate.py
@@ -1,4 +1,4 @@
-"""What became of one request so far."""
+"""The state of one request across its offers to targets."""
 
 from dataclasses import dataclass, field
 
@@ -7,12 +7,12 @@
 from lacewinggw.ids import TargetId
 from lacewinggw.wire.http import Headers
 
-MAX_OFFERS = 4  # of one request, those that proved not to have run included
+MAX_OFFERS = 4  # per request, including offers that proved not to have run
 
 
 @dataclass(frozen=True)
 class FailedAnswer:
-    """A target's own answer that says it failed; passed on when nothing better comes."""
+    """A target's own error answer; sent to the caller if no retry succeeds."""
 
     status: int
     headers: Headers
@@ -21,26 +21,26 @@
 
 @dataclass
 class RequestProgress:
-    """What became of a request so far."""
+    """The state of a request across its offers; `waited_s` and `first_part_s` are in seconds."""
 
     admitted: AdmittedRequest
     offers: int = 0
-    runs: int = 0  # offers that were not proved not to have run
-    has_reached_target: bool = True  # whether the last offer reached its target, run or not
+    runs: int = 0  # offers that may have run the request
+    has_reached_target: bool = True  # of the last offer, whether it ran or not
     tried_targets: set[TargetId] = field(default_factory=set)
     last_event: int | None = None
-    weights_version: int | None = None  # of the weights that the answer has begun with
-    target: TargetId | None = None  # that was offered the request last
-    is_late: bool = False  # it could not be on time any more when it began to wait
+    weights_version: int | None = None  # on which the answer started
+    target: TargetId | None = None  # of the last offer
+    is_late: bool = False  # when it began to wait, it could no longer meet its objective
     waited_s: float = 0.0
-    requests_ahead: float = 0.0  # requests ahead of it at that target, as far as was known
+    requests_ahead: float = 0.0  # at the last target, as reported
     offered_at: float = 0.0
     first_part_s: float | None = None  # from the offer to the first part of the answer
     failure: FailedAnswer | None = None
 
     @property
     def can_retry(self) -> bool:
-        """Whether the request may run once more."""
+        """Whether the route allows another offer of the request."""
         if self.runs == 0:
             return self.offers < MAX_OFFERS
         route = self.admitted.route
--- a/src/lacewinggw/frontend/slots.py
+++ b/src/lacewinggw/frontend/slots.py
@@ -1,4 +1,4 @@
-"""Asking agents for slots of their targets: a few at once, and the first to give one is taken."""
+"""Request slots of targets from several of their agents at once and use the first one granted."""
 
 import asyncio
 from collections.abc import Callable, Set
@@ -10,38 +10,38 @@
 from lacewinggw.decisions.targetload import TargetLoad
 from lacewinggw.ids import TargetId
 
-# How many agents a request waits for at once. One alone may be frozen, or keep all its slots, and
-# each keeps few in line: with fewer, slots that fall free would find nobody for a moment.
+# Agents at which a request waits at once. A single agent may be frozen or keep all its slots busy.
+# Agents queue few requests each, so with fewer asks free slots would stay idle for a moment.
 MAX_CONCURRENT_ASKS = 6
-MAX_ASKS = 8  # by one request, those that declined included
-# A request that others have overtaken at so many agents does not wait at the rest: newer ones come
-# there as well, and its caller would be held for little. One alone may be that of a slow engine.
+MAX_ASKS = 8  # per request, including agents that declined
+# A request that newer ones have overtaken at this many agents stops waiting at the rest: newer ones
+# also arrive there, so it would hardly start. A single agent may have a slow engine.
 MAX_OVERTAKEN = 2
-# An agent answers in a millisecond, over a link that carries weights in some tens. One that has
-# not is waited for no longer before another is asked.
+# An agent answers within a millisecond, or some tens over a link that transfers weights. After this
+# time without an answer, the next agent is asked as well.
 ANSWER_TIMEOUT_S = 0.05
 
-MIN_WAIT_S = 0.001  # timers are no finer
+MIN_WAIT_S = 0.001  # resolution of the event loop's timers
 
 
 class SlotAnswer(Enum):
-    """What an agent says of a slot that it was asked for."""
+    """An agent's answer to a request for a slot."""
 
     GRANTED = "granted"
     QUEUED = "queued"
     DECLINED = "declined"
-    OVERTAKEN = "overtaken"  # others are before it there, and leave it no prospect
-    LOST = "lost"  # the link broke: nothing was granted, or it counts no more
+    OVERTAKEN = "overtaken"  # newer requests went first there, and it is unlikely to start
+    LOST = "lost"  # the link broke; a slot that was granted is void
 
 
 class SlotCall(Protocol):
-    """One slot that an agent was asked for."""
+    """One pending request for a slot at an agent."""
 
     async def answer(self) -> SlotAnswer:
-        """Return the next thing that the agent says."""
+        """Return the agent's next answer; after QUEUED another one follows."""
 
     def end(self) -> None:
-        """Give the slot back, or leave the line for it."""
+        """Give the slot back, or leave the agent's queue."""
 
 
 AskSlot = Callable[[TargetLoad, SlotRequest], SlotCall | None]
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Lease:
-    """A slot that was granted at a target; `end` it when the request there is over."""
+    """A granted slot of a target; call `end` when its request has finished."""
 
     load: TargetLoad
     call: SlotCall
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False)
 class _Asked:
-    """An agent that was asked, and the task that hears it."""
+    """An agent that was asked, and the task that receives its answers."""
 
     load: TargetLoad
     call: SlotCall
@@ -74,10 +74,10 @@
 class SlotSearch:
     """One request's search for a slot.
 
-    `pick` names the next target to ask, other than those asked already. Its place in their lines
-    is by `arrived_at`, of the loop's clock.
+    `pick` returns the next target to ask, given those already asked. Agents order their queues by
+    how long requests have waited since `arrived_at`, by the loop's clock.
 
-        lease = await SlotSearch(ask, pick, wish, arrived_at).find(until)
+        lease = await SlotSearch(ask, pick, request, arrived_at).find(until)
     """
 
     ask: AskSlot
@@ -90,7 +90,7 @@
     _answers: "asyncio.Queue[tuple[_Asked, SlotAnswer]]" = field(default_factory=asyncio.Queue)
 
     async def find(self, until: float) -> Lease | None:
-        """Return a slot, or None if there is none until then by the loop's clock."""
+        """Return a granted slot, or None if none is granted until then by the loop's clock."""
         try:
             return await self._find(until)
         finally:
@@ -122,7 +122,7 @@
         return None
 
     async def _next_answer(self, newest: _Asked | None, limit: float) -> Lease | None:
-        """Wait for a slot up to `limit`, or until one more is to be asked."""
+        """Return a granted slot, or None at `limit` or when another agent is to be asked."""
         try:
             async with asyncio.timeout_at(limit):
                 while True:
@@ -152,7 +152,7 @@
             self._answers.put_nowait((asked, answer))
 
     def withdraw_where(self, is_closed: Callable[[TargetLoad], bool]) -> None:
-        """Leave the lines for targets that are closed; other agents are asked at once."""
+        """Leave the queues of closed targets; other agents are asked at once."""
         for asked in [each for each in self._pending if is_closed(each.load)]:
             self._leave(asked)
             self._answers.put_nowait((asked, SlotAnswer.DECLINED))
--- a/src/lacewinggw/frontend/storefollower.py
+++ b/src/lacewinggw/frontend/storefollower.py
@@ -1,4 +1,4 @@
-"""What an entry believes of its fleet, kept up to date from the store."""
+"""Keep an entry's view of the fleet up to date from the operators' store."""
 
 import asyncio
 import math
@@ -34,35 +34,36 @@
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 
-# The age of the routes stays well within the shortest bound on keys: two entries a place read, and
-# the others ask them and are told when something is new; who gets no answer reads itself. Calls
-# for the routes then grow with the places, not with the entries.
+# Keeps the age of the routes well within the shortest time after which a key must be rejected. Two
+# entries per place read the routes; the others ask them and are notified of changes, and an entry
+# that gets no answer reads the store itself. So reads grow with the number of places, not entries.
 ROUTES_POLL = PollTimes(for_update_s=1.2, after_update_s=0.4)
-# A silent connection is noticed within the bound on leaving targets and a window of stability. Each
-# change of the list wakes whoever follows it. Entries that read often tell of targets that leave,
-# and agents of weights, so that the others can let changes gather; with the time of a call that is
-# still within the two seconds after which a leaving target may get nothing.
+# A silent connection is noticed within the time limit for leaving targets plus a stability window.
+# Each change of the list wakes all of its followers. Frequent readers notify the others of leaving
+# targets, and agents report weights, so the others can let changes accumulate. Even with the time
+# of a call, that stays within the 2 s after which a leaving target must get no requests.
 READER_TARGETS_POLL = PollTimes(for_update_s=4.0, after_update_s=0.4)
 ASKER_TARGETS_POLL = PollTimes(for_update_s=4.0, after_update_s=1.2)
 MEMBERS_POLL = PollTimes(for_update_s=15.0, after_update_s=1.0)
 MS_PER_S = 1000
-EXPIRY_CHECK_S = 0.1  # between looks for targets that did not come back after an outage
+EXPIRY_CHECK_S = 0.1  # interval of the check for targets that did not return after an outage
 
 log = get_logger(__name__)
 
 
 class StoreFollower:
-    """Follows the store's topics into the knowledge and the pool of targets.
+    """Follows the topics of the store and updates the cached view and the target pool.
 
-    `reads_often` tells whether this entry reads for its place, or nobody tells it what is new;
-    `reads_routes` whether it is to read the routes now, `is_list_vouched` whether another entry has
-    read the list of targets lately and has the same.
+    `is_frequent_reader` returns whether this entry reads for its place, or gets no updates from
+    other entries; `should_read_routes` whether it is to read the routes now; `is_list_confirmed`
+    whether another entry has read the same list of targets recently.
 
     `on_change` is called when targets or versions have changed, `on_members` when the list of
-    entries has, `on_urgent` when the entries that do not read have to be told something at once:
-    routes or versions are new. `departures` is told of targets that leave, `on_crashing` of each
-    request that the store lists as one that may end targets, or lists no more; `on_restored` of the
-    keys of our own rows that a store has which came back from an older copy.
+    entries has changed, and `on_urgent` when routes or versions are new and the entries that do not
+    read must be notified at once. `leaving_targets` is updated with targets that leave.
+    `on_crashing` is called for each request that the store lists, or no longer lists, as crashing
+    targets. `on_restored` is called with the keys of this product's rows in a store that was
+    restored from an older copy.
     """
 
     def __init__(
@@ -128,16 +129,16 @@
 
     @property
     def targets_position(self) -> StorePosition:
-        """How far the list of targets is known, as the store counts."""
+        """The store position up to which the list of targets has been read."""
         return self._targets.position
 
     def targets_age(self, now: float) -> float:
-        """Return how long ago the list of targets was the store's, in seconds."""
+        """Return how long ago the list of targets was current in the store, in seconds."""
         return now - self._targets_read_at
 
     @property
     def routes_position(self) -> StorePosition:
-        """How far routes and versions due are known, as the store counts."""
+        """The store position up to which routes and required versions are known."""
         return self._configuration.position
 
     @property
@@ -146,19 +147,19 @@
         return self._has_members
 
     def cancel_routes_read(self) -> None:
-        """Stop reading the routes while another entry sends them.
+        """Cancel a read of the routes from the store while another entry sends them.
 
-        A copy from the store, ten times as large, would hold up the one that is on its way over the
-        same border.
+        The copy from the store is ten times as large and would delay the one from the entry, which
+        crosses the same link between places.
         """
         self._configuration.interrupt()
 
     def advance_routes(self, position: StorePosition) -> None:
-        """Note that another entry gave the routes, and how far its knowledge went."""
+        """Record that another entry sent the routes, which are current up to `position`."""
         self._configuration.advance_to(position)
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the store."""
         for follower in self._followers:
             await follower.start()
         self._expiry.start()
@@ -170,7 +171,7 @@
             await follower.close()
 
     def note_weights(self, target: TargetId, weights: Mapping[ModelName, int]) -> None:
-        """Take what a target was heard to hold."""
+        """Record the versions of weights that a target reported."""
         if self._knowledge.update_weights(target, weights):
             self._pool.sync(self._knowledge.targets)
 
@@ -238,7 +239,8 @@
     def _apply_members(self, update: FeedUpdate, _: AnswerTimes) -> None:
         self._has_members = True
         if update.restored:
-            # Those that the copy lacks write themselves again; they count on, as shares go by them.
+            # Members that the copy lacks rewrite their own rows. They are kept here meanwhile,
+            # because shares of limits depend on the number of entries.
             self._on_restored(frozenset(_own_keys(update)))
         elif update.whole:
             self.members.clear()
@@ -264,7 +266,7 @@
 
 
 def _own_keys(update: FeedUpdate) -> Iterator[str]:
-    """Yield the keys of our own rows in the update."""
+    """Yield the keys of this product's rows in an update."""
     for change in update.changes:
         match change:
             case ItemChanged(MemberEntry(member)):
--- a/src/lacewinggw/frontend/targetanswers.py
+++ b/src/lacewinggw/frontend/targetanswers.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves in the heads of their answers, handed to whoever acts on it."""
+"""Apply what targets report about themselves in the heads of their answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 
 class TargetAnswers:
-    """Takes the head of each answer; `on_backoff` is called when a target wants nothing for a time.
+    """Processes the head of each answer; `on_backoff` is called when a target asks for a backoff.
 
     asked_at = answers.read_clock()
     ...
-    answers.note(load, facts, asked_at)
+    answers.apply_facts(load, facts, asked_at)
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         self._backoffs = metrics.counter("target_backoffs")
 
     def read_clock(self) -> float:
-        """Return the time by the clock that observations count on, in seconds."""
+        """Return the time in seconds by the clock used for observations."""
         return self._rates.read_clock()
 
     def apply_facts(self, load: TargetLoad, facts: AnswerFacts, asked_at: float) -> None:
-        """Act on what a target says of itself in the answer to a request sent at `asked_at`."""
+        """Apply the facts in a target's answer to a request that was sent at `asked_at`."""
         self._rates.note_answer(load, facts, asked_at)
         if facts.leaving:
             self._leaving_targets.mark_leaving(load.entry.target, LeavingSource.ANSWER)
--- a/src/lacewinggw/frontend/targetrates.py
+++ b/src/lacewinggw/frontend/targetrates.py
@@ -1,4 +1,4 @@
-"""Rate limits of targets: taken from their answers, told to other entries, and kept."""
+"""Rate limits of targets: read from their answers, shared with other entries, and enforced."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
@@ -15,18 +15,19 @@
 from lacewinggw.metrics import Metrics
 
 MS_PER_S = 1000.0
-# The end of a limit is told so long: entries send updates twice a second.
+# How long updates include a limit that has ended; entries send updates twice a second.
 END_ANNOUNCED_S = 5.0
 
 log = get_logger(__name__)
 
 
 class TargetRates:
-    """Keeps what this entry sends to targets within its share of their rate limits.
+    """Keeps this entry's requests to targets within its share of their rate limits.
 
-    `listed` gives the entries on the store's list, None while it is not here. `passes_on` says
-    whether this entry tells other places what those of its own have seen, and `on_change` is called
-    when the others are to be told at once: a limit is there, or over.
+    `listed_entries` returns the entries in the store's list, or None until it has been read.
+    `is_forwarder` returns whether this entry forwards limits seen by its own place to other places.
+    `on_change` is called when the other entries must be notified at once, because a limit has
+    started or ended.
 
         asked_at = rates.read_clock()
         ...
@@ -53,32 +54,34 @@
         metrics.read_gauge("targets_limited", lambda: len(self._limited()))
 
     def read_clock(self) -> float:
-        """Return the time by the clock that observations count on, in seconds."""
+        """Return the time in seconds by the clock used for observations."""
         return self._clock()
 
     def note_answer(self, load: TargetLoad, facts: AnswerFacts, asked_at: float) -> None:
-        """Take what a target's answer to a request sent at `asked_at` says of its limit."""
+        """Apply the limit in a target's answer to a request that was sent at `asked_at`."""
         if facts.limit_per_s is None and not facts.sealed:
-            return  # it need not come from the work that the target limits
+            return  # the answer need not come from the work that the target limits
         before = load.rate.per_s
         if load.rate.note_answer(facts.limit_per_s, asked_at, self._clock()):
             self._note_change(load, before)
 
     def apply_updates(self, entry: PeerEntry, updates: Iterable[messages.TargetLimit]) -> None:
-        """Take what another entry tells; what is said of an unknown target comes again."""
+        """Apply limits from another entry; those of unknown targets are skipped and sent again."""
         for limit in updates:
             load = self._pool.loads.get(TargetId(limit.target))
             if load is None:
                 continue
-            near = entry.place == self._me.place and not limit.passed_on
+            is_near = entry.place == self._me.place and not limit.passed_on
             per_s = limit.per_s if limit.limited else None
             seen_at = self._clock() - limit.age_ms / MS_PER_S
             before = load.rate.per_s
-            if load.rate.note_update(per_s, seen_at, LimitSource.NEAR if near else LimitSource.FAR):
+            if load.rate.note_update(
+                per_s, seen_at, LimitSource.NEAR if is_near else LimitSource.FAR
+            ):
                 self._note_change(load, before)
 
     def compose_updates(self) -> list[messages.TargetLimit]:
-        """Return what this entry tells others: limits in force, and those that ended lately."""
+        """Return the limits for other entries: those in force and those that ended recently."""
         now = self._clock()
         return [
             messages.TargetLimit(
@@ -93,7 +96,7 @@
         ]
 
     def update_shares(self) -> None:
-        """Share the limits anew: the list of entries has changed."""
+        """Recompute this entry's shares of the limits after the list of entries has changed."""
         for load in self._limited():
             self._share(load)
 
@@ -124,12 +127,12 @@
             begun=load.begun,
             in_flight=load.in_flight,
         )
-        # Another number is told with the next update: a target may name a new one in each answer.
+        # A changed value waits for the next update: a target may set a new one in each answer.
         if (before is None) != (load.rate.per_s is None):
             self._on_change()
 
     def _share(self, load: TargetLoad) -> None:
-        """Work out what this entry may send to a target."""
+        """Compute how many requests per second this entry may send to a target."""
         per_s, entry = load.rate.per_s, load.entry
         if per_s is None:
             load.allowance = None
--- a/tests/fleet/declared_fleet.py
+++ b/tests/fleet/declared_fleet.py
@@ -1,4 +1,4 @@
-"""A whole declared fleet in one loop: the platform's stand-ins, entries and agents."""
+"""A complete declared fleet in one event loop: platform stand-ins, entries and agents."""
 
 import asyncio
 import random
@@ -37,7 +37,7 @@
 
 @dataclass
 class Reply:
-    """What a caller got; `whole` tells whether the answer ended as it should."""
+    """The answer that a caller received; `whole` is true if it was complete."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -46,7 +46,7 @@
 
 
 class DeclaredFleet:
-    """Entries, agents and stand-ins. Times are those of the virtual loop."""
+    """Entries, agents and stand-ins; times are by the virtual event loop."""
 
     def __init__(self) -> None:
         self.network = MemoryNetwork()
@@ -81,7 +81,7 @@
         return target
 
     def _list(self, target: TargetStandIn, service: str, row: dict[str, object]) -> None:
-        """Put a start of a target on the list, and take the one before it off."""
+        """List the current incarnation of a target and remove the previous one."""
         number = len(target.ended_at)
         if number:
             name = target.target_id.partition(".")[0]
@@ -152,7 +152,7 @@
         body: bytes = b"",
         **headers: str,
     ) -> Reply:
-        """Ask an entry on a connection of its own; leave it after a while, if asked to."""
+        """Send a request to an entry on a new connection; disconnect after `leave_after_s`."""
         fields = {
             "Host": "notes.example",
             "X-Attempt-Id": f"attempt-{random.random()}",
@@ -166,7 +166,7 @@
         return await self.send(sent, entry, leave_after_s)
 
     async def send(self, sent: bytes, entry: int = 0, leave_after_s: float | None = None) -> Reply:
-        """Send bytes to an entry and return what comes back, up to the end of one answer."""
+        """Send bytes to an entry and return the answer, complete or not."""
         address = f"10.1.0.{entry + 1}:8005"
         stream = await self.network.view("10.200.0.1").connect(address)
         connection = h11.Connection(h11.CLIENT)
@@ -184,7 +184,7 @@
         return reply
 
     async def get(self, address: str, path: str) -> tuple[int, bytes]:
-        """Ask one of the platform's pages."""
+        """Return the status and body of one of the platform's pages."""
         client = HttpClient(self.network.view("10.200.0.2"), idle_connections=0)
         response = await client.request(address, "GET", path)
         return response.status, response.content
@@ -222,7 +222,7 @@
 
 @asynccontextmanager
 async def running_fleet(desks: int = 2, engines: int = 2, entries: int = 1):
-    """Run a fleet with targets that hold the first version, until the end of the block."""
+    """Run a fleet whose targets have the first version of the weights."""
     fleet = DeclaredFleet()
     await fleet.start()
     try:
--- a/tests/fleet/platform_standins.py
+++ b/tests/fleet/platform_standins.py
@@ -1,7 +1,7 @@
-"""Stand-ins of the platform's services, by their published calls: store, engine, origin.
+"""Stand-ins for the platform's services with their published calls: store, engine, origin.
 
-They are small and obey: tests tell them how to fail. What every stand-in knows of outages, delays
-and lost replies is the lab's. Everything runs on an in-memory network.
+Tests set how they fail. Outages, delays and lost replies are implemented by the lab's `StandIn`.
+Everything runs on an in-memory network.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 KEY = "key-of-growers"
 CHUNKS = 8
 CHUNK_BYTES = 1024
-STEADY_START_MS = 7_300_000  # what the store's clock shows as the loop's shows 0
-BORN_MS = 1_764_700_000_000  # of the first start of each target
+STEADY_START_MS = 7_300_000  # the store's clock when the loop's clock is 0
+BORN_MS = 1_764_700_000_000  # start time of each target's first incarnation
 
 
 def manifest(version: int, **changes: object) -> dict:
-    """Return what operators write as the routes, in the platform's words."""
+    """Return the routes in the platform's format, as operators write them."""
     route = {
         "TimeoutMs": 6000,
         "TargetLatencyMs": 400,
@@ -102,7 +102,7 @@
 
 @dataclass
 class Row:
-    """A row of a table and the version that wrote it; `value` is None once it is dropped."""
+    """A row of a table and the version that wrote it; `value` is None once it is removed."""
 
     table: str
     key: str
@@ -116,11 +116,11 @@
     def __init__(self, network: MemoryNetwork) -> None:
         super().__init__(network, STORE)
         self.calls: list[str] = []
-        self.forgotten = 0  # history up to this version is gone
-        self.deaf = False  # a feed hears nothing and waits its time out
+        self.forgotten = 0  # the history up to this version is discarded
+        self.deaf = False  # feeds miss all changes and wait until they time out
         self.era = 1
         self._rows: dict[tuple[str, str], Row] = {}
-        self._written: list[tuple[float, Row]] = []  # in this era, and when
+        self._written: list[tuple[float, Row]] = []  # the writes of this era and their times
         self._version = 0
         self._changed = asyncio.Event()
 
@@ -134,7 +134,7 @@
         changed.set()
 
     async def drill(self, age_s: float, away_s: float = 0.5) -> list[Row]:
-        """Be away for a moment, and come back from a copy; return the rows that are lost."""
+        """Stop for `away_s`, restart from an older copy, and return the rows that were lost."""
         await self.close()
         await asyncio.sleep(away_s)
         copied_at = asyncio.get_running_loop().time() - away_s - age_s
@@ -147,7 +147,7 @@
         return lost
 
     def write_again(self, lost: list[Row], *tables: str) -> None:
-        """Write what the operators or the targets had in tables, as they do after a drill."""
+        """Rewrite lost rows of some tables, as operators and targets do after a restore."""
         newest = {(row.table, row.key): row for row in lost if row.table in tables}
         for row in newest.values():
             self.put(row.table, row.key, None if row.value is None else json.loads(row.value))
@@ -211,7 +211,7 @@
         return [row for row in self._in(table) if row.version > version]
 
     def _answer(self, rows: list[Row]) -> Response:
-        told = [
+        encoded = [
             {
                 "Table": row.table,
                 "part": "",
@@ -226,7 +226,7 @@
             for row in rows
         ]
         body = {
-            "Rows": told,
+            "Rows": encoded,
             "HasMore": False,
             "SchemaVersion": self._version,
             "CurrentTimeMs": self._time_ms(),
@@ -235,7 +235,7 @@
 
 
 def target_row(service: str, address: str, zone: str = "hall", **changes: object) -> dict:
-    """Return what a target writes of itself."""
+    """Return the row that a target writes about itself."""
     models = [{"Name": MODEL, "Version": 1, "Adapters": []}] if service == LLM else []
     return {
         "Service": service,
@@ -253,27 +253,27 @@
 
 @dataclass
 class Behaviour:
-    """How a target answers; counts are of requests, from the first one on."""
+    """How a target answers; counts apply to its next requests."""
 
-    shed: int = 0  # so many are refused as not run
-    errors: int = 0  # so many get a 500
-    cut_after: int | None = None  # a stream breaks off after so many events
-    silent_after: int | None = None  # it stops after so many events and stays open
-    silent: int = 0  # so many get no answer at all
+    shed: int = 0  # number of requests to refuse as not run
+    errors: int = 0  # number of requests to answer with 500
+    cut_after: int | None = None  # number of events after which a stream breaks
+    silent_after: int | None = None  # number of events after which a stream stalls and stays open
+    silent: int = 0  # number of requests to leave unanswered
     pause_s: float = 0.01
     events: int = 5
     wrong_id: bool = False
-    limit_per_s: float | None = None  # that it names in its answers
-    leaving: bool = False  # it says so in all its answers, and goes on serving
-    retry_after: str | None = None  # asked for where a request is refused, as it is written
-    shed_share: float = 0.0  # of the requests refused by chance
-    room: int = 1000  # for requests at once; more are refused
-    crashes_on: frozenset[bytes] = frozenset()  # bodies: it ends after the first event of such one
-    back_s: float = 2.5  # after an end, under another id
+    limit_per_s: float | None = None  # the rate limit sent in its answers
+    leaving: bool = False  # all answers state that it is leaving; it continues serving
+    retry_after: str | None = None  # the raw header value sent with refusals
+    shed_share: float = 0.0  # share of requests refused at random
+    room: int = 1000  # concurrent requests; more are refused
+    crashes_on: frozenset[bytes] = frozenset()  # bodies whose first event crashes it
+    back_s: float = 2.5  # time until it returns under another id
 
 
 class TargetStandIn(StandIn):
-    """A target: answers, streams, and for a model engine its report, staging area and orders."""
+    """A target: answers, streams and, for a model engine, report, staging area and load orders."""
 
     def __init__(self, network: MemoryNetwork, target_id: str, address: str) -> None:
         super().__init__(network, address)
@@ -282,9 +282,9 @@
         self.seen: list[Request] = []
         self.seen_at: list[float] = []
         self.ended_at: list[float] = []
-        self.most_at_once = 0  # requests that it worked on, but for the events of streams
+        self.most_at_once = 0  # concurrent requests, without those only sending events
         self._at_once = 0
-        self.turned_away: list[tuple[float, str]] = []  # when, and by which entry it came
+        self.turned_away: list[tuple[float, str]] = []  # time, and entry that it came from
         self._rng = random.Random(target_id)
         self.on_start: Callable[[], None] = lambda: None
         self._ending: asyncio.Task[None] | None = None
@@ -298,7 +298,7 @@
         self.born_ms = BORN_MS
 
     def crash(self) -> None:
-        """End at once, with all that runs, and be back later under another id."""
+        """Stop at once, abort all requests, and return later under another id."""
         if self._ending is None:
             self.ended_at.append(asyncio.get_running_loop().time())
             self._ending = asyncio.get_running_loop().create_task(self._end_and_return())
@@ -315,7 +315,7 @@
         self.on_start()
 
     def restart(self) -> None:
-        """Start again under the same id: nothing is held or known of before."""
+        """Restart under the same id without weights or orders."""
         self.born_ms += 60_000
         self.weights = {}
         self.orders = []
@@ -381,8 +381,8 @@
     def _turn_away(self, request: Request) -> Response:
         at = asyncio.get_running_loop().time()
         self.turned_away.append((at, request.headers.get("x-via", "")))
-        asked = self.behaviour.retry_after
-        rest = {} if asked is None else {"retry-after": asked}
+        retry_after = self.behaviour.retry_after
+        rest = {} if retry_after is None else {"retry-after": retry_after}
         return Response(503, {"x-not-executed": "1", **rest})
 
     async def _stream(self, first: int, body: bytes) -> AsyncIterator[bytes]:
@@ -448,11 +448,11 @@
 
 
 class OriginStandIn(StandIn):
-    """The origin of weights, which counts what it sends. `corrupt` are pieces sent spoilt, once."""
+    """The origin of weights; records the pieces it sent. Pieces in `corrupt` are corrupted once."""
 
     def __init__(self, network: MemoryNetwork) -> None:
         super().__init__(network, ORIGIN)
-        self.piece_s = 0.0  # that each piece takes
+        self.piece_s = 0.0  # time to send a piece
         self.corrupt: set[int] = set()
         self.sent: list[int] = []
 
--- a/tests/fleet/test_adapter.py
+++ b/tests/fleet/test_adapter.py
@@ -1,4 +1,4 @@
-"""What the platform writes, as the product's types; and the other way round."""
+"""The adapter decodes the platform's data to the product's types and encodes them back."""
 
 import base64
 import json
@@ -47,7 +47,7 @@
 # ---- routes and targets ---------------------------------------------------------------------
 
 
-def test_routes_as_operators_write_them():
+def test_routes_are_decoded_from_the_operators_manifest():
     table = decode_routes(encoded(manifest(7)))
     report = table.find("notes.example", "/report/1")
     assert table.version == 7 and table.needs_key
@@ -66,13 +66,13 @@
     assert decode_routes(table.source) == table
 
 
-def test_a_stream_that_may_not_be_resumed_is_never_repeated():
+def test_a_stream_without_resume_is_never_retried():
     value = manifest(7)
     value["Routes"][0]["ResumeStreams"] = False
     assert decode_routes(encoded(value)).routes[0].retry_policy is RetryPolicy.NEVER
 
 
-def test_routes_without_keys_need_none():
+def test_routes_without_tenants_need_no_key():
     value = manifest(7)
     del value["Tenants"]
     assert not decode_routes(encoded(value)).needs_key
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize(
     ("state", "phase"), [("ready", TargetPhase.READY), ("draining", TargetPhase.LEAVING)]
 )
-def test_a_target_as_it_lists_itself(state, phase):
+def test_a_target_row_is_decoded(state, phase):
     entry = decode_target("i-1", encoded(target_row(LLM, "10.2.0.1:8080", State=state)))
     assert (entry.name, entry.phase, entry.slots) == ("i-1", phase, 4)
     assert entry.target == make_target_id("i-1", BORN_MS)
@@ -91,30 +91,30 @@
 # ---- heads ----------------------------------------------------------------------------------
 
 
-def test_what_a_caller_s_head_tells():
+def test_the_head_of_a_request_is_decoded():
     facts = HEADS.read_call(HEAD)
     assert (facts.call_id, facts.time_left_s, facts.key) == ("a1", 6.093, KEY)
     assert (facts.model, facts.prompt_tokens, facts.output_tokens) == ("market", 1460, 80)
     assert (facts.last_event, facts.expected_tokens) == (12, 70)
 
 
-def test_what_cannot_be_read_counts_as_not_said():
+def test_unreadable_header_values_count_as_absent():
     head = [("X-Attempt-Id", "a1"), ("X-Deadline-Remaining", "soon"), ("X-Token-Counts", "many")]
     facts = HEADS.read_call(head)
     assert (facts.time_left_s, facts.prompt_tokens, facts.model) == (None, 0, None)
 
 
-def test_a_head_without_an_id_is_refused():
+def test_a_request_without_an_attempt_id_is_refused():
     with pytest.raises(MalformedHttp):
         HEADS.read_call([("Host", "notes.example")])
 
 
-def test_what_a_target_is_told_instead():
-    told = HEADS.write_call(HEAD, DispatchFacts("i-1", "growers", 5000, 3, 2, 20))
-    values = {name.lower(): value for name, value in told}
+def test_the_head_for_a_target_replaces_the_caller_s_values():
+    head = HEADS.write_call(HEAD, DispatchFacts("i-1", "growers", 5000, 3, 2, 20))
+    values = {name.lower(): value for name, value in head}
     assert "x-key" not in values
-    assert [value for name, value in told if name.lower() == "x-tenant"] == ["growers"]
-    assert [value for name, value in told if name.lower() == "last-event-id"] == ["20"]
+    assert [value for name, value in head if name.lower() == "x-tenant"] == ["growers"]
+    assert [value for name, value in head if name.lower() == "last-event-id"] == ["20"]
     assert (values["x-expected-instance"], values["x-expected-version"]) == ("i-1", "2")
     assert (values["x-deadline-remaining"], values["x-request-priority"]) == ("5000", "3")
 
@@ -128,7 +128,7 @@
         (500, {"x-response-seal": "s"}, False),
     ],
 )
-def test_only_a_target_that_says_so_did_not_run_a_request(status, headers, not_run):
+def test_not_run_requires_an_explicit_statement_of_the_target(status, headers, not_run):
     assert HEADS.read_answer(status, headers).not_run is not_run
 
 
@@ -141,7 +141,7 @@
 
 
 class PagedStore:
-    """A store that answers each call with the next of some responses."""
+    """A store that answers each call with the next of the given responses."""
 
     def __init__(self, *responses):
         self.network = MemoryNetwork()
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_snapshot_is_read_page_by_page_from_the_first_one_s_version():
+async def test_a_snapshot_has_the_version_of_its_first_page():
     pages = PagedStore(
         json_response(
             200,
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.looptime
-async def test_changes_and_drops_in_order():
+async def test_changes_and_removals_are_returned_in_order():
     gone = {"Table": "servers", "part": "", "Key": "b", "SchemaVersion": 5, "Deleted": True}
     rows = [row("a", target_row(LLM, "x:1"), 4), gone]
     async with PagedStore(json_response(200, {"Rows": rows, "SchemaVersion": 5})) as store:
@@ -197,16 +197,16 @@
     ("status", "error"),
     [(410, HistoryGone), (503, PlatformUnavailable), (500, PlatformUnavailable)],
 )
-async def test_each_refusal_of_the_store(status, error):
+async def test_each_error_status_of_the_store_raises_its_error(status, error):
     async with PagedStore(Response(status)) as store:
         with pytest.raises(error):
             await store.changes(Topic.TARGETS, StorePosition(0, 3), 1.0)
 
 
-def test_a_target_that_does_not_tell_its_birth_goes_by_its_name():
-    """The entries of the deployments so far lack it, though it is promised for each."""
-    told = {key: value for key, value in GOOD.items() if key != "born"}
-    entry = decode_target("i-1", encoded(told))
+def test_a_target_without_a_start_time_is_identified_by_its_name():
+    """Rows of current deployments lack the start time, although the platform specifies it."""
+    row_value = {key: value for key, value in GOOD.items() if key != "born"}
+    entry = decode_target("i-1", encoded(row_value))
     assert (entry.target, entry.born_ms) == ("i-1", 0)
 
 
@@ -236,7 +236,7 @@
 @pytest.mark.looptime
 @pytest.mark.parametrize("topic", list(Topic))
 @pytest.mark.parametrize("kind", BAD_VALUES)
-async def test_a_row_of_another_writer_says_nothing_and_the_others_hold(topic, kind):
+async def test_an_invalid_row_is_unreadable_and_the_others_are_decoded(topic, kind):
     good = {
         Topic.TARGETS: row("b", GOOD, 5),
         Topic.CONFIGURATION: row("version/m", {"Model": "m", "Version": 2}, 5),
@@ -247,12 +247,12 @@
     async with PagedStore(json_response(200, {"Rows": [bad, good], "SchemaVersion": 5})) as store:
         update = await store.changes(topic, StorePosition(0, 3), 1.0)
     assert [type(change) for change in update.changes] == [UnreadableItem, ItemChanged]
-    told = update.changes[0]
-    assert (told.key, told.revision) == (key, 4) and told.reason
+    item = update.changes[0]
+    assert (item.key, item.revision) == (key, 4) and item.reason
 
 
 @pytest.mark.looptime
-async def test_a_request_in_quarantine_stands_beside_the_processes():
+async def test_quarantined_requests_and_processes_share_one_list():
     rows = [
         row("crashing/ab12", {"service": "writer", "targets": ["i-1"], "quarantined": True}, 4),
         row("h", {"host": "h", "place": "p", "role": "entry", "address": "x"}, 5),
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_request_is_put_in_quarantine_and_taken_out_by_its_digest():
+async def test_a_quarantine_row_is_written_and_removed_by_digest():
     done = json_response(200, {"SchemaVersion": 8})
     async with PagedStore(done, done) as store:
         await store.put(crashing_row(CrashingRequest("ab12", "writer", ("i-1",), True)))
@@ -284,14 +284,14 @@
     "page",
     [[], {}, {"Rows": 3, "SchemaVersion": 1}, {"Rows": [3], "SchemaVersion": 1}, {"Rows": []}],
 )
-async def test_an_answer_about_rows_that_is_not_understood_is_an_error_of_the_store(page):
+async def test_an_invalid_page_of_rows_is_a_platform_error(page):
     async with PagedStore(json_response(200, page)) as store:
         with pytest.raises(PlatformError):
             await store.changes(Topic.TARGETS, StorePosition(0, 3), 1.0)
 
 
 @pytest.mark.looptime
-async def test_rows_of_the_operators_that_are_not_known_are_passed_over():
+async def test_unknown_operator_rows_are_ignored():
     rows = [{**row("something/new", {"a": 1}, 4), "Table": "op"}]
     async with PagedStore(json_response(200, {"Rows": rows, "SchemaVersion": 4})) as store:
         assert (await store.changes(Topic.CONFIGURATION, StorePosition(0, 3), 1.0)).changes == ()
--- a/tests/fleet/test_boundary.py
+++ b/tests/fleet/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the adapter, and the product does not know the adapter."""
+"""Names of the platform occur only in the adapter, and the product does not import the adapter."""
 
 import re
 from pathlib import Path
@@ -14,7 +14,7 @@
 ADAPTER = re.compile(r"^\s*(from|import) lacewinggw_platform", re.MULTILINE)
 
 
-def test_the_product_holds_no_name_of_the_platform():
+def test_the_product_contains_no_platform_names():
     found = {path.name: WIRE_NAMES.findall(path.read_text()) for path in SOURCES}
     assert {name for name, names in found.items() if names} == set()
 
--- a/tests/fleet/test_callers_leaving.py
+++ b/tests/fleet/test_callers_leaving.py
@@ -1,4 +1,4 @@
-"""Connections of callers while an entry leaves: what is taken is answered."""
+"""Connections of callers while an entry is leaving: every accepted request is answered."""
 
 import asyncio
 from contextlib import suppress
@@ -17,7 +17,7 @@
 
 
 class Entry:
-    """A listener whose answers take as long as told, and that notes what it has taken."""
+    """A listener whose answers take `answer_s`, and that counts accepted requests in `taken`."""
 
     def __init__(self):
         self.network = MemoryNetwork()
@@ -34,7 +34,7 @@
         return await self.network.view("10.200.0.1").connect(ADDRESS)
 
 
-async def test_nothing_more_is_taken_on_a_connection_that_was_busy_when_closing_began():
+async def test_a_busy_connection_serves_no_further_request_once_closing_began():
     entry = Entry()
     await entry.listener.start()
     stream = await entry.connect()
@@ -45,15 +45,15 @@
     await asyncio.sleep(0.5)
     closing = asyncio.ensure_future(entry.listener.close(GRACE_S))
     await asyncio.sleep(2.0)
-    assert b"200" in await stream.read(1 << 16)  # the one in progress is answered whole
+    assert b"200" in await stream.read(1 << 16)  # the request in progress gets its complete answer
     entry.answer_s = 60.0
     with suppress(ConnectionResetError):
         stream.write(REQUEST)
     await closing
-    assert entry.taken == 1  # the next one is not taken, so not cut off either
+    assert entry.taken == 1  # the next one is not accepted, so it cannot be cut off
 
 
-async def test_a_connection_that_is_kept_goes_on_until_closing_begins():
+async def test_a_kept_connection_serves_requests_until_closing_begins():
     entry = Entry()
     await entry.listener.start()
     stream = await entry.connect()
--- a/tests/fleet/test_connection_limits.py
+++ b/tests/fleet/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Targets take so many connections of all callers together, as their service declares."""
+"""The connections of all entries to a target stay within the limit that its service declares."""
 
 import pytest
 from declared_fleet import running_fleet
@@ -9,8 +9,9 @@
 pytestmark = pytest.mark.looptime
 
 
-# A service of one target that allows 30 connections got up to eight from each of 24 entries.
-async def test_entries_together_keep_to_the_connections_that_a_service_allows():
+# Guards against entries that each use the limit as their own: a target that allows 30 connections
+# got up to eight from each of 24 entries.
+async def test_all_entries_together_respect_the_connection_limit_of_a_service():
     async with running_fleet(desks=1, engines=0, entries=0) as fleet:
         await add_entries(fleet, 24)
         services = [{**each, "ConnectionLimit": 30} for each in manifest(3)["Services"]]
@@ -24,7 +25,7 @@
         assert played.shares()[200] >= 0.2
 
 
-async def test_a_service_that_allows_enough_is_filled_to_its_slots():
+async def test_a_service_with_enough_connections_is_used_up_to_its_slots():
     async with running_fleet(desks=1, engines=0, entries=0) as fleet:
         await add_entries(fleet, 3)
         let_anybody_in(fleet)
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -1,4 +1,4 @@
-"""Who is told that a target leaves, and when."""
+"""Which components are notified that a target is leaving, and when."""
 
 import pytest
 
@@ -7,9 +7,9 @@
 from lacewinggw.metrics import Metrics
 
 
-# Each entry that was told passed it on at once to all that listen to it.
+# If every entry forwarded a report at once, all entries would notify each other of each target.
 @pytest.mark.parametrize(
-    ("source", "told"),
+    ("source", "notified"),
     [
         (LeavingSource.ANSWER, 1),
         (LeavingSource.ADDRESS, 1),
@@ -18,15 +18,15 @@
         (LeavingSource.AGENT, 0),
     ],
 )
-def test_only_who_finds_out_first_tells_other_entries_at_once(source, told):
+def test_only_the_first_observer_notifies_other_entries_at_once(source, notified):
     calls = []
-    departures = LeavingTargets(
+    leaving_targets = LeavingTargets(
         RoutingView(RoutingViewRules()),
         lambda: calls.append("leaving"),
         lambda: calls.append("urgent"),
         Metrics(),
     )
     for _ in range(3):
-        departures.mark_leaving("desk", source)
-        departures.publish_new(source)
-    assert calls == ["leaving"] + ["urgent"] * told
+        leaving_targets.mark_leaving("desk", source)
+        leaving_targets.publish_new(source)
+    assert calls == ["leaving"] + ["urgent"] * notified
--- a/tests/fleet/test_entries_of_others.py
+++ b/tests/fleet/test_entries_of_others.py
@@ -1,4 +1,4 @@
-"""A running fleet whose store holds entries of other writers, and targets that start again."""
+"""A fleet whose store has invalid rows of other writers, and targets that restart."""
 
 import asyncio
 import json
@@ -14,8 +14,8 @@
 BAD = (b"{", b"[1]", b"\xff\xfe", b'{"Address": 7}')
 
 
-def spoil(store, table, key, data):
-    """Have another writer put bytes in an entry."""
+def corrupt_row(store, table, key, data):
+    """Replace the value of a row by bytes, as a faulty writer would."""
     store.put(table, key, {})
     store._rows[table, key] = Row(table, key, data, store._version)
 
@@ -31,10 +31,10 @@
 
 
 @pytest.mark.parametrize("data", BAD)
-async def test_an_entry_goes_on_following_beside_an_entry_that_cannot_be_read(data):
+async def test_a_process_keeps_following_the_store_despite_an_unreadable_row(data):
     async with running_fleet(desks=1) as fleet:
-        spoil(fleet.store, "servers", "i-strange", data)
-        spoil(fleet.store, "lacewinggw-members", "strange", data)
+        corrupt_row(fleet.store, "servers", "i-strange", data)
+        corrupt_row(fleet.store, "lacewinggw-members", "strange", data)
         await asyncio.sleep(3.0)
         fleet.store.put("servers", "i-desk0", None)
         await fleet.add_target("desk9", DESK, "10.3.0.9")
@@ -44,20 +44,20 @@
 
 
 @pytest.mark.parametrize("data", BAD)
-async def test_an_entry_that_starts_beside_such_an_entry_serves(data):
+async def test_a_process_that_starts_with_unreadable_rows_serves(data):
     async with running_fleet(desks=1) as fleet:
-        spoil(fleet.store, "servers", "i-strange", data)
-        spoil(fleet.store, "lacewinggw-members", "strange", data)
-        spoil(fleet.store, "op", "version/market", data)
+        corrupt_row(fleet.store, "servers", "i-strange", data)
+        corrupt_row(fleet.store, "lacewinggw-members", "strange", data)
+        corrupt_row(fleet.store, "op", "version/market", data)
         await fleet.add_entry(2)
         await asyncio.sleep(3.0)
         assert (await fleet.ask("/tally/1", "GET", entry=1)).status == 200
 
 
 @pytest.mark.parametrize("data", BAD)
-async def test_routes_that_cannot_be_read_leave_the_last_good_ones_in_force(data):
+async def test_unreadable_routes_leave_the_last_valid_ones_in_force(data):
     async with running_fleet(desks=1) as fleet:
-        spoil(fleet.store, "op", "config", data)
+        corrupt_row(fleet.store, "op", "config", data)
         await asyncio.sleep(3.0)
         assert await served(fleet)
         routes = manifest(9)
@@ -67,9 +67,9 @@
         assert not await served(fleet)
 
 
-async def test_a_target_whose_entry_is_spoilt_gets_nothing_until_it_is_written_again():
+async def test_a_target_with_a_corrupt_row_gets_no_requests_until_it_is_rewritten():
     async with running_fleet(desks=2) as fleet:
-        spoil(fleet.store, "servers", "i-desk0", b"{}")
+        corrupt_row(fleet.store, "servers", "i-desk0", b"{}")
         await asyncio.sleep(3.0)
         assert all([await served(fleet) for _ in range(6)])
         assert not fleet.targets["desk0"].seen
@@ -79,7 +79,7 @@
         assert fleet.targets["desk0"].seen
 
 
-async def test_an_engine_that_starts_again_empty_is_offered_nothing_until_it_has_loaded():
+async def test_an_engine_restarted_without_weights_gets_no_requests_until_it_has_loaded():
     async with running_fleet(engines=2) as fleet:
         for name in ("engine0", "engine1"):
             await fleet.add_agent(name)
@@ -88,33 +88,33 @@
         engine.restart()
         row = target_row(LLM, engine.address, born=engine.born_ms, Models=[])
         fleet.store.put("servers", engine.target_id, row)
-        await asyncio.sleep(0.15)  # its agent asks it ten times a second
+        await asyncio.sleep(0.15)  # its agent polls it ten times a second
         offered = len(engine.seen)
         while not engine.weights:
             assert await served(fleet, "/report/1", X_Model="market")
             assert len(engine.seen) == offered
-        assert engine.weights == {"market": 1}  # its agent has brought them again
+        assert engine.weights == {"market": 1}  # its agent has loaded them again
         await asyncio.sleep(1.0)
         for _ in range(8):
             assert await served(fleet, "/report/1", X_Model="market")
         assert len(engine.seen) > offered
 
 
-async def test_the_agent_tells_of_a_new_start_before_the_list_does():
+async def test_the_agent_reports_a_restart_before_the_list_does():
     async with running_fleet(engines=2) as fleet:
         for name in ("engine0", "engine1"):
             await fleet.add_agent(name)
         await asyncio.sleep(2.0)
         engine = fleet.targets["engine0"]
         engine.restart()
-        await asyncio.sleep(1.0)  # its own entry of the list is still that of before
+        await asyncio.sleep(1.0)  # its row in the list is still that of the previous incarnation
         offered = len(engine.seen)
         for _ in range(8):
             assert await served(fleet, "/report/1", X_Model="market")
         assert len(engine.seen) == offered
 
 
-async def test_a_target_that_drained_left_and_came_back_is_used():
+async def test_a_target_that_drained_left_and_returned_is_used():
     async with running_fleet(desks=1) as fleet:
         desk = fleet.targets["desk0"]
         leaving = target_row(DESK, desk.address, State="draining")
@@ -130,14 +130,14 @@
         assert await served(fleet)
 
 
-def test_the_spoilt_entries_are_spoilt():
+def test_the_corrupt_rows_are_corrupt():
     for data in BAD[:1] + BAD[2:3]:
         with pytest.raises(ValueError):
             json.loads(data)
 
 
 @pytest.mark.parametrize(("in_row", "in_report"), [(True, False), (False, True), (False, False)])
-async def test_news_of_an_engine_counts_wherever_its_birth_is_told(in_row, in_report):
+async def test_engine_reports_count_whichever_source_has_the_start_time(in_row, in_report):
     async with running_fleet(engines=0) as fleet:
         born_ms = BORN_MS if in_row else 0
         engine = await fleet.add_target("engine0", LLM, "10.2.0.1", born=born_ms)
--- a/tests/fleet/test_events.py
+++ b/tests/fleet/test_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events out of bytes cut anywhere."""
+"""Server-sent events are parsed from bytes that are split at any position."""
 
 import pytest
 from hypothesis import given
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
-def test_events_do_not_depend_on_how_the_bytes_come(cuts):
+def test_events_do_not_depend_on_how_the_bytes_are_split(cuts):
     splitter = EventSplitter()
     edges = [0, *sorted(cuts), len(STREAM)]
     pieces = [STREAM[start:end] for start, end in zip(edges, edges[1:], strict=False)]
@@ -21,7 +21,7 @@
     assert not splitter.is_torn
 
 
-def test_an_event_that_breaks_off_is_torn():
+def test_an_incomplete_event_is_torn():
     splitter = EventSplitter()
     assert [event.number for event in splitter.feed(STREAM + b"id: 3\nda")] == [1, 2, None]
     assert splitter.is_torn
@@ -34,7 +34,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_come_out_as_they_went_in(data):
+def test_any_bytes_are_returned_unchanged(data):
     splitter = EventSplitter()
     events = list(splitter.feed(data))
     whole = b"".join(event.data for event in events)
--- a/tests/fleet/test_logstream.py
+++ b/tests/fleet/test_logstream.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up the process, and what is dropped is counted."""
+"""Writing log lines never blocks the process, and dropped lines are counted."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 class Pipe:
-    """A pipe with room for some bytes, and a clock."""
+    """A pipe that accepts `room` more bytes, and a clock."""
 
     def __init__(self, room):
         self.room = room
@@ -28,7 +28,7 @@
         return LogStream(1, self.write, self.clock)
 
 
-def test_lines_go_out_in_order():
+def test_lines_are_written_in_order():
     pipe = Pipe(room=1000)
     stream = pipe.stream()
     stream.write("one\n")
@@ -36,7 +36,7 @@
     assert pipe.taken == b"one\ntwo\n"
 
 
-def test_what_a_slow_reader_leaves_comes_later_and_whole():
+def test_lines_that_a_slow_reader_delays_are_written_completely_later():
     pipe = Pipe(room=2)
     stream = pipe.stream()
     stream.write("one\n")
@@ -45,7 +45,7 @@
     assert pipe.taken == b"one\ntwo\n"
 
 
-def test_a_reader_that_is_gone_costs_bounded_memory_and_no_time():
+def test_an_absent_reader_costs_bounded_memory_and_never_blocks():
     pipe = Pipe(room=0)
     stream = pipe.stream()
     for number in range(2000):
@@ -61,7 +61,7 @@
     assert lines[-1] == "after"
 
 
-def test_a_burst_of_lines_is_cut_to_the_rate():
+def test_a_burst_of_lines_is_limited_to_the_rate():
     pipe = Pipe(room=1 << 30)
     stream = pipe.stream()
     for _ in range(int(BURST_LINES) + 50):
@@ -72,7 +72,7 @@
     assert b"log_lines_dropped" in pipe.taken and pipe.taken.endswith(b"b\n")
 
 
-def test_a_closed_pipe_is_no_error():
+def test_a_closed_pipe_raises_no_error():
     def write(_, data):
         raise BrokenPipeError
 
--- a/tests/fleet/test_request_story.py
+++ b/tests/fleet/test_request_story.py
@@ -1,4 +1,4 @@
-"""One request's story out of the logs of many processes."""
+"""`explain` collects the log lines about one request from the logs of many processes."""
 
 import json
 
@@ -36,20 +36,20 @@
     return str(path)
 
 
-def test_a_request_is_told_with_what_its_entry_believed(log, capsys):
+def test_explain_shows_a_request_with_the_routes_of_its_entry(log, capsys):
     assert main(["explain", "r1", log]) == ExitCode.OK
-    told = capsys.readouterr().out.splitlines()
-    assert told == [
+    lines = capsys.readouterr().out.splitlines()
+    assert lines == [
         "T2 entry-1  routes_taken  version=5",
         "T3 entry-1  offer_ended  outcome=not-run",
         "T4 entry-1  request_refused  error=overloaded",
     ]
 
 
-def test_an_unknown_request_is_an_error_with_a_remedy(log, capsys):
+def test_an_unknown_request_fails_with_a_remedy(log, capsys):
     assert main(["explain", "r9", log]) == ExitCode.FAILED
     assert "logs of all entries" in capsys.readouterr().err
 
 
-def test_a_file_that_is_not_there_is_an_error(capsys):
+def test_a_missing_log_file_is_an_error(capsys):
     assert main(["explain", "r1", "/nowhere/at/all"]) != ExitCode.OK
--- a/tests/fleet/test_requests_straight.py
+++ b/tests/fleet/test_requests_straight.py
@@ -1,4 +1,4 @@
-"""Requests through an entry of a declared fleet, straight to targets that fail in every way."""
+"""Requests that an entry of a declared fleet sends to targets that fail in various ways."""
 
 import asyncio
 import json
@@ -18,24 +18,24 @@
     return sum(len(fleet.targets[name].seen) for name in names or fleet.targets)
 
 
-async def test_a_whole_answer_bears_the_mark_of_its_target():
+async def test_a_complete_answer_has_the_seal_of_its_target():
     async with running_fleet() as fleet:
         reply = await fleet.ask("/tally/12?pen=3", "GET", left_ms=2500)
         assert reply.status == 200 and reply.whole
         assert reply.body.decode().removeprefix("answer of ") in reply.headers["x-response-seal"]
 
 
-async def test_what_a_target_is_told():
+async def test_the_head_that_a_target_receives():
     async with running_fleet(desks=1) as fleet:
         await fleet.ask(
             "/sheet/1?a=%20b", X_Tenant="forged", X_Note="kept", Connection="X-Gone", X_Gone="1"
         )
         request = fleet.targets["desk0"].seen[0]
-        told = request.headers
-        assert told["x-tenant"] == "growers" and told["x-note"] == "kept"
-        assert told["x-expected-instance"] == "i-desk0"
-        assert "x-key" not in told and "x-gone" not in told
-        assert 0 < int(told["x-deadline-remaining"]) <= 1200
+        headers = request.headers
+        assert headers["x-tenant"] == "growers" and headers["x-note"] == "kept"
+        assert headers["x-expected-instance"] == "i-desk0"
+        assert "x-key" not in headers and "x-gone" not in headers
+        assert 0 < int(headers["x-deadline-remaining"]) <= 1200
 
 
 @pytest.mark.parametrize(
@@ -47,13 +47,13 @@
         ("/sheet/1", {"Host": "other.example"}, 404),
     ],
 )
-async def test_what_the_routes_do_not_allow_is_denied(path, headers, status):
+async def test_requests_that_the_routes_do_not_allow_are_denied(path, headers, status):
     async with running_fleet() as fleet:
         assert (await fleet.ask(path, **headers)).status == status
         assert runs(fleet) == 0
 
 
-async def test_nothing_is_denied_before_the_routes_are_known():
+async def test_no_request_is_denied_before_the_routes_have_been_received():
     async with running_fleet() as fleet:
         fleet.store.faults.outage = Outage.REFUSE
         await fleet.add_entry(2)
@@ -61,26 +61,26 @@
         assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
 
 
-async def test_a_stream_comes_as_the_target_makes_it():
+async def test_a_stream_is_forwarded_unchanged():
     async with running_fleet() as fleet:
         reply = await fleet.ask("/report/1", X_Model="market")
         assert reply.status == 200 and reply.whole and reply.body == STREAM
 
 
-async def test_a_stream_that_breaks_off_goes_on_at_another_target():
+async def test_a_broken_stream_resumes_at_another_target():
     async with running_fleet() as fleet:
         for name in ("engine0", "engine1"):
             fleet.targets[name].behaviour.cut_after = 2
         reply = await fleet.ask("/report/1", X_Model="market")
         fleet.targets["engine0"].behaviour.cut_after = None
-        assert not reply.whole  # both broke off: it must not look complete
+        assert not reply.whole  # both streams broke, so the answer must not look complete
         fleet.targets["engine1"].behaviour.cut_after = None
         fleet.targets["engine0"].behaviour.cut_after = 2
         replies = [await fleet.ask("/report/1", X_Model="market") for _ in range(4)]
         assert all(reply.whole and reply.body == STREAM for reply in replies)
 
 
-async def test_a_stream_that_falls_silent_goes_on_at_another_target():
+async def test_a_stalled_stream_resumes_at_another_target():
     async with running_fleet() as fleet:
         fleet.targets["engine0"].behaviour.silent_after = 2
         fleet.targets["engine1"].behaviour.silent_after = 2
@@ -90,7 +90,7 @@
         assert reply.whole and reply.body == STREAM
 
 
-async def test_a_stream_goes_on_only_with_the_weights_it_began_with():
+async def test_a_stream_resumes_only_on_the_version_it_started_with():
     async with running_fleet() as fleet:
         rows = [{"Name": "market", "Version": 2, "Adapters": []}]
         fleet.store.put("servers", "i-engine1", target_row("writer", "10.2.0.2:8080", Models=rows))
@@ -103,19 +103,19 @@
         assert runs(fleet) == 1
 
 
-async def test_what_must_not_run_twice_is_offered_again_only_by_proof():
+async def test_a_non_idempotent_request_is_retried_only_if_it_proved_not_to_have_run():
     async with running_fleet() as fleet:
         for name in ("desk0", "desk1"):
             fleet.targets[name].behaviour.shed = 1
         reply = await fleet.ask("/sheet/1")
-        assert reply.status == 503  # both said that they did not run it
+        assert reply.status == 503  # both stated that they did not run it
         assert runs(fleet) == 2
         fleet.targets["desk0"].behaviour.shed = 1
         replies = [await fleet.ask("/sheet/1") for _ in range(3)]
         assert [reply.status for reply in replies] == [200, 200, 200]
 
 
-async def test_what_must_not_run_twice_is_not_offered_again_after_a_silence():
+async def test_a_non_idempotent_request_is_not_retried_after_a_timeout():
     async with running_fleet() as fleet:
         for name in ("desk0", "desk1"):
             fleet.targets[name].behaviour.silent = 1
@@ -124,14 +124,14 @@
         assert runs(fleet) == 1
 
 
-async def test_the_target_s_own_failure_is_passed_on_with_its_mark():
+async def test_the_error_answer_of_a_target_is_forwarded_with_its_seal():
     async with running_fleet(desks=1) as fleet:
         fleet.targets["desk0"].behaviour.errors = 1
         reply = await fleet.ask("/sheet/1")
         assert reply.status == 500 and reply.headers["x-response-seal"] == "seal-of-i-desk0"
 
 
-async def test_what_may_be_repeated_is_tried_at_another_target():
+async def test_an_idempotent_request_is_retried_at_another_target():
     async with running_fleet() as fleet:
         fleet.targets["desk0"].behaviour.errors = 1
         fleet.targets["desk1"].behaviour.silent = 0
@@ -140,20 +140,20 @@
         assert runs(fleet) == 4
 
 
-async def test_an_answer_to_another_request_is_never_passed_on():
+async def test_an_answer_to_another_request_is_never_forwarded():
     async with running_fleet(desks=1) as fleet:
         fleet.targets["desk0"].behaviour.wrong_id = True
         assert (await fleet.ask("/sheet/1")).status == 502
 
 
-async def test_an_address_that_belongs_to_another_target_by_now_runs_nothing():
+async def test_a_request_does_not_run_at_an_address_that_another_target_took_over():
     async with running_fleet(desks=1) as fleet:
-        fleet.targets["desk0"].target_id = "i-reborn"
+        fleet.targets["desk0"].target_id = "i-replaced"
         reply = await fleet.ask("/sheet/1")
         assert reply.status == 503
 
 
-async def test_a_caller_that_leaves_frees_its_target():
+async def test_a_caller_that_disconnects_frees_its_target():
     async with running_fleet(engines=1) as fleet:
         fleet.targets["engine0"].behaviour.pause_s = 0.2
         await fleet.ask("/report/1", X_Model="market", leave_after_s=0.3)
@@ -161,7 +161,7 @@
         assert fleet.targets["engine0"].running == 0
 
 
-async def test_the_time_limit_of_a_route_ends_a_request_with_an_honest_status():
+async def test_a_request_that_exceeds_the_route_timeout_gets_504():
     async with running_fleet(desks=1) as fleet:
         fleet.targets["desk0"].behaviour.pause_s = 60.0
         began = asyncio.get_running_loop().time()
@@ -170,7 +170,7 @@
         assert reply.status == 504 and 1.1 < took_s < 1.4
 
 
-async def test_full_targets_are_told_at_once_with_a_time_to_come_back():
+async def test_full_targets_cause_an_immediate_refusal_with_retry_after():
     async with running_fleet(engines=1) as fleet:
         fleet.targets["engine0"].behaviour.pause_s = 0.5
         asks = [fleet.ask("/report/1", X_Model="market") for _ in range(12)]
@@ -219,13 +219,13 @@
         "two lengths",
     ],
 )
-async def test_what_is_no_proper_request_reaches_no_target(sent, status):
+async def test_a_malformed_request_reaches_no_target(sent, status):
     async with running_fleet() as fleet:
         assert (await fleet.send(sent)).status == status
         assert runs(fleet) == 0
 
 
-async def test_a_body_in_chunks_arrives_whole():
+async def test_a_chunked_body_arrives_complete():
     async with running_fleet(desks=1) as fleet:
         sent = (
             f"POST /sheet/1 HTTP/1.1\r\nHost: notes.example\r\nX-Attempt-Id: a\r\nX-Key: {KEY}\r\n"
@@ -235,7 +235,7 @@
         assert fleet.targets["desk0"].seen[0].body == b"abcde"
 
 
-async def test_a_leaving_entry_ends_what_runs_and_is_ready_no_more():
+async def test_a_leaving_entry_finishes_its_requests_and_is_not_ready():
     async with running_fleet() as fleet:
         fleet.targets["engine0"].behaviour.pause_s = 0.5
         fleet.targets["engine1"].behaviour.pause_s = 0.5
@@ -275,7 +275,7 @@
         assert (await fleet.ask("/sheet/1")).status == 404
 
 
-async def test_what_no_target_takes_is_not_held_to_the_end():
+async def test_a_request_that_all_targets_refuse_is_not_held_until_its_deadline():
     async with running_fleet(desks=0, engines=1) as fleet:
         fleet.targets["engine0"].behaviour.pause_s = 1.0
         long_ones = [
@@ -292,25 +292,25 @@
         await asyncio.gather(*long_ones)
 
 
-async def test_a_start_of_a_target_that_is_proved_gone_is_offered_nothing_more():
+async def test_a_replaced_target_incarnation_is_offered_no_more_requests():
     async with running_fleet(desks=1) as fleet:
-        reborn = fleet.targets["desk0"]
-        reborn.target_id = "i-reborn"
+        replaced = fleet.targets["desk0"]
+        replaced.target_id = "i-replaced"
         misdirected = []
-        answer = reborn._answer
+        answer = replaced._answer
 
         async def count(request):
-            if request.headers["x-expected-instance"] != reborn.target_id:
+            if request.headers["x-expected-instance"] != replaced.target_id:
                 misdirected.append(request)
             return await answer(request)
 
-        reborn._answer = count
+        replaced._answer = count
         for _ in range(3):
             await fleet.ask("/sheet/1")
         assert len(misdirected) == 1
 
 
-async def test_a_stream_is_not_offered_again_when_its_caller_is_about_to_give_up():
+async def test_a_stream_is_not_retried_when_its_caller_is_about_to_give_up():
     async with running_fleet() as fleet:
         for name in ("engine0", "engine1"):
             fleet.targets[name].behaviour.pause_s = 0.45
@@ -323,11 +323,11 @@
         began = asyncio.get_running_loop().time()
         reply = await fleet.ask("/report/1", X_Model="market")
         took_s = asyncio.get_running_loop().time() - began
-        assert reply.status == 502 and took_s < 2.0  # of the 2.4 s that its caller waits
+        assert reply.status == 502 and took_s < 2.0  # its caller waits for 2.4 s
         await asyncio.gather(*long_ones)
 
 
-async def test_an_offer_that_reached_nobody_is_no_retry():
+async def test_an_offer_that_reached_no_target_is_not_a_retry():
     async with running_fleet(desks=1) as fleet:
         budget = fleet.entries[0].relay._deps.placer._budget("desk")
         budget.share, budget.extra = 0.0, 0.0
