--- a/tests/fleet/test_slot_search.py
+++ b/tests/fleet/test_slot_search.py
@@ -1,4 +1,4 @@
-"""One request's search for a slot among agents: whom it asks, and when it gives up."""
+"""The search for a slot: which agents a request asks, and when it gives up."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class Agent:
-    """Answers each question with QUEUED, then with `later` after a while."""
+    """Answers each request with QUEUED, then with `later` after `after_s`."""
 
     def __init__(self, name, later, after_s):
         self.load = TargetLoad(TargetEntry(name, "writer", "10.2.0.1:8080", "hall", slots=4))
@@ -39,7 +39,7 @@
 
 
 async def search(agents, wait_s=0.25, waited_s=0.0):
-    """Return the slot that is found, and after how long the search ended."""
+    """Return the slot that was found, and how long the search took."""
     now = asyncio.get_running_loop().time()
     by_load = {id(agent.load): agent for agent in agents}
 
@@ -56,21 +56,22 @@
     return found, asyncio.get_running_loop().time() - now
 
 
-# A caller was held for 270 ms and refused, though newer requests had gone before it everywhere.
-async def test_one_that_others_overtake_is_not_held_any_longer():
+# Guards against holding a caller for 270 ms and then refusing it, while newer requests overtake it
+# at all agents.
+async def test_a_request_overtaken_at_all_agents_is_not_held_longer():
     agents = [Agent(f"i-{each}", SlotAnswer.OVERTAKEN, 0.01) for each in range(ENGINES)]
     found, took_s = await search(agents)
     assert found is None and took_s <= 0.03
 
 
-async def test_overtaken_at_one_agent_it_still_waits_at_the_others():
+async def test_a_request_overtaken_at_one_agent_still_waits_at_the_others():
     agents = [Agent("i-0", SlotAnswer.OVERTAKEN, 0.005)]
     agents += [Agent(f"i-{each}", SlotAnswer.GRANTED, 0.1) for each in range(1, ENGINES)]
     found, _ = await search(agents)
     assert found is not None and found.load is agents[1].load
 
 
-async def test_it_waits_at_several_agents_and_tells_each_its_age():
+async def test_a_request_waits_at_several_agents_and_sends_each_its_waiting_time():
     agents = [Agent(f"i-{each}", SlotAnswer.GRANTED, 0.1) for each in range(ENGINES)]
     await search(agents, waited_s=0.04)
     wishes = [wish for agent in agents for wish in agent.wishes]
--- a/tests/fleet/test_store_crowded.py
+++ b/tests/fleet/test_store_crowded.py
@@ -1,11 +1,10 @@
-"""A store whose queue of new connections is full, as a whole fleet starts at one moment.
-
-After a loss of power 32 entries and 63 agents came back within 0.3 s, each with several calls to
-the store. Ten entries had the routes after 0.03 to 0.13 s, none between that and a second, and the
-other 22 after 1.03 to 1.45 s: an opening packet that finds the queue full is dropped, and the
-kernel sends the next one a second later. Meanwhile they turned callers away, and agents that hear
-of targets and versions from them loaded nothing: 0.06 of the worth of two seconds was served, and
-0.33 of the next.
+"""A store whose listen backlog is full because a whole fleet starts at the same time.
+
+Guards against a slow start after a power loss: 32 entries and 63 agents returned within 0.3 s, each
+with several calls to the store. Ten entries had the routes after 0.03 to 0.13 s, and the other 22
+only after 1.03 to 1.45 s, because the kernel resends a dropped SYN packet after a second. Meanwhile
+they rejected callers, and the agents that get targets and versions from them loaded nothing: 0.06
+of the value of the first two seconds was served, and 0.33 of that of the next two.
 """
 
 import asyncio
@@ -18,15 +17,15 @@
 
 pytestmark = pytest.mark.looptime
 
-QUEUED = 6  # connections that the store's queue holds
+QUEUED = 6  # connections in the store's listen backlog
 TAKEN_EACH_S = 0.002
-RESENT_S = 1.0  # after that a kernel sends a dropped opening packet again
+RESENT_S = 1.0  # after which a kernel resends a dropped SYN packet
 SERVES_WITHIN_S = 0.5
 ENTRIES = 12
 
 
 class CrowdedStore:
-    """Drops opening packets while the store's queue of new connections is full."""
+    """Drops SYN packets while the store's listen backlog is full."""
 
     def __init__(self, connect):
         self._connect = connect
@@ -44,7 +43,7 @@
         self._free_at = max(self._free_at, loop.time()) + TAKEN_EACH_S
 
 
-async def test_entries_serve_soon_though_the_store_drops_their_first_packets(monkeypatch):
+async def test_entries_become_ready_soon_although_the_store_drops_their_first_packets(monkeypatch):
     async with running_fleet(entries=0) as fleet:
         crowded = CrowdedStore(MemoryNetwork.connect)
         monkeypatch.setattr(MemoryNetwork, "connect", lambda *args: crowded.connect(*args))
--- a/tests/fleet/test_store_return.py
+++ b/tests/fleet/test_store_return.py
@@ -1,4 +1,4 @@
-"""A store that was away: how soon its return is noticed, and what is believed meanwhile."""
+"""Outages of the store: how soon its return is noticed, and the entries' view meanwhile."""
 
 import asyncio
 
@@ -11,13 +11,13 @@
 
 pytestmark = pytest.mark.looptime
 
-NOTICED_S = 1.5  # a call that was sent just before the return, and a pause
+NOTICED_S = 1.5  # the timeout of a call sent just before the return, and a retry pause
 AWAY_S = 8.0
 
 
 @pytest.mark.parametrize("outage", [Outage.REFUSE, Outage.CUT, Outage.HANG])
 @pytest.mark.parametrize("extra_s", [0.0, 0.3, 0.7, 1.1, 2.3, 3.9])
-async def test_everything_is_followed_again_soon_after_the_return(outage, extra_s):
+async def test_all_topics_are_followed_again_soon_after_the_return(outage, extra_s):
     async with running_fleet() as fleet:
         fleet.store.faults.outage = outage
         await asyncio.sleep(AWAY_S + extra_s)
@@ -31,8 +31,8 @@
         assert (await fleet.ask("/sheet/1")).status == 200
 
 
-async def test_an_entry_that_the_store_turned_away_hears_of_targets_that_left_meanwhile():
-    """One that left and is off the list already is told of as well, by those that saw it leave."""
+async def test_an_entry_cut_off_from_the_store_learns_which_targets_left_meanwhile():
+    """This includes a target that is already off the list: entries that saw it leave report it."""
     async with running_fleet(desks=2, entries=3) as fleet:
         fleet.network.cut("10.1.0.1", "10.9.0.1")
         await asyncio.sleep(3.0)
@@ -40,12 +40,12 @@
         await asyncio.sleep(0.01)
         fleet.store.put("servers", "i-desk0", None)
         await asyncio.sleep(2.0)
-        fitting = fleet.entries[0].knowledge
-        assert make_target_id("i-desk0", BORN_MS) in fitting.leaving
+        knowledge = fleet.entries[0].knowledge
+        assert make_target_id("i-desk0", BORN_MS) in knowledge.leaving
 
 
-async def test_a_target_that_is_off_the_list_is_left_in_time_after_being_turned_away():
-    """Whoever is in touch again knows what vanished: three seconds after the store took it back."""
+async def test_a_delisted_target_is_dropped_in_time_after_an_outage():
+    """An entry knows which targets vanished three seconds after the store accepts it again."""
     async with running_fleet(desks=2, entries=1) as fleet:
         fleet.store.faults.outage = Outage.REFUSE
         await asyncio.sleep(AWAY_S)
@@ -56,12 +56,13 @@
 
 
 @pytest.mark.parametrize("is_alone", [False, True])
-async def test_an_entry_that_has_just_started_does_not_make_others_take_a_version_for_older(
+async def test_a_starting_entry_does_not_make_others_overestimate_the_age_of_a_version(
     is_alone,
 ):
-    """A version is named while the store is silent; a process that starts then reads it whole.
+    """A version is written while the store hangs, and an entry starts after the store is back.
 
-    If it hears of others only after that, what it knows is a guess; else they tell it.
+    If it reaches other entries only later, its age of the version is a guess; otherwise they send
+    the age.
     """
     others = [f"10.1.0.{number}" for number in (1, 2, 3)]
     async with running_fleet(entries=3) as fleet:
@@ -89,10 +90,11 @@
 
 
 @pytest.mark.parametrize("outage", [Outage.REFUSE, Outage.CUT])
-async def test_one_topic_asks_for_all_while_the_store_turns_an_entry_away(outage):
-    """Each of three topics asked each 0.5 s, so refused calls were the dearest part of such a day.
+async def test_one_topic_probes_for_all_while_the_store_rejects_an_entry(outage):
+    """Guards against each of three topics calling the store every 0.5 s during an outage.
 
-    One at most 0.75 s and on average 0.5 s apart is enough to notice the return in time.
+    Rejected calls were then the largest cost of an outage. One call every 0.5 s on average, and at
+    most 0.75 s apart, is enough to notice the return in time.
     """
     async with running_fleet(entries=1) as fleet:
         await asyncio.sleep(5.0)
--- a/tests/fleet/test_store_troubles.py
+++ b/tests/fleet/test_store_troubles.py
@@ -1,4 +1,4 @@
-"""What entries and agents believe through the troubles of the store, singly and in pairs."""
+"""The view of entries and agents during failures of the store, single and combined."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_a_key_is_refused_once_it_may_have_been_taken_away():
+async def test_a_key_is_refused_once_it_may_have_been_revoked():
     async with running_fleet() as fleet:
         fleet.store.faults.outage = Outage.REFUSE
         await asyncio.sleep(2.0)
@@ -21,14 +21,14 @@
         assert (await fleet.ask("/sheet/1")).status == 503
 
 
-async def test_a_key_taken_away_is_denied():
+async def test_a_revoked_key_is_denied():
     async with running_fleet() as fleet:
         fleet.store.put("op", "config", manifest(4, Tenants=[{"Name": "growers", "ApiKeys": []}]))
         await asyncio.sleep(0.6)
         assert (await fleet.ask("/sheet/1")).status == 401
 
 
-async def test_a_store_that_falls_silent_is_left_for_a_new_connection():
+async def test_a_silent_connection_to_the_store_is_replaced():
     async with running_fleet() as fleet:
         fleet.network.cut("10.1.0.1", "10.9.0.1")
         await asyncio.sleep(3.0)
@@ -62,7 +62,7 @@
         assert not fleet.targets["desk0"].seen
 
 
-async def test_targets_that_lapsed_in_an_outage_serve_on_until_they_are_back():
+async def test_targets_whose_rows_lapsed_in_an_outage_are_used_until_they_return():
     async with running_fleet() as fleet:
         fleet.store.faults.outage = Outage.REFUSE
         await asyncio.sleep(4.5)
@@ -78,7 +78,7 @@
         }
 
 
-async def test_a_fresh_entry_knows_what_the_store_says_now():
+async def test_a_new_entry_reads_the_current_state_of_the_store():
     async with running_fleet() as fleet:
         fleet.store.put("op", "config", manifest(9))
         fleet.store.put("servers", "i-desk0", None)
@@ -89,7 +89,7 @@
         assert make_target_id("i-desk0", BORN_MS) not in entry.knowledge.targets
 
 
-async def test_a_list_that_changes_often_costs_few_calls_where_others_read_it():
+async def test_a_list_that_changes_often_costs_few_calls():
     async with running_fleet(entries=4) as fleet:
         await asyncio.sleep(2.0)
         before = fleet.store.calls.count("/rows-feed")
@@ -99,16 +99,16 @@
                 "servers", "i-engine0", target_row(LLM, "10.2.0.1:8080", Models=weights)
             )
             await asyncio.sleep(0.25)
-        # In six seconds: one entry reads each change that does not come within 0.4 s of the last.
+        # In six seconds, one entry reads each change that is at least 0.4 s after the last one.
         assert fleet.store.calls.count("/rows-feed") - before < 55
 
 
-async def test_a_target_that_leaves_is_left_by_all_within_a_second():
+async def test_all_entries_stop_using_a_leaving_target_within_a_second():
     async with running_fleet(entries=4) as fleet:
         await asyncio.sleep(2.0)
         weights = [{"Name": MODEL, "Version": 1}]
         fleet.store.put("servers", "i-engine1", target_row(LLM, "10.2.0.2:8080", Models=weights))
-        await asyncio.sleep(0.1)  # all have just taken in a change, and let others gather
+        await asyncio.sleep(0.1)  # all have just applied a change and let further ones accumulate
         fleet.store.put("servers", "i-engine0", target_row(LLM, "10.2.0.1:8080", State="draining"))
         await asyncio.sleep(0.6)
         assert all(
@@ -118,7 +118,7 @@
 
 
 async def test_frozen_and_revoked_at_once():
-    """A request that waited out a freeze is not admitted by a key that is gone by then."""
+    """A request that waited during a freeze is not admitted with a key revoked meanwhile."""
     async with running_fleet() as fleet:
         fleet.network.hold("10.1.0.1")
         asked = asyncio.ensure_future(fleet.ask("/sheet/1"))
@@ -131,7 +131,7 @@
 
 
 async def test_restarted_and_changed_at_once():
-    """An entry that starts while the store is away never goes back behind what others know."""
+    """An entry that starts during an outage never uses older routes than the other entries have."""
     async with running_fleet(entries=2) as fleet:
         routes = manifest(5)["Routes"]
         fleet.store.put("op", "config", manifest(5, Routes=routes[:1]))
@@ -147,8 +147,8 @@
         assert fleet.entries[2].knowledge.routes.version == 5
 
 
-async def test_turned_away_and_leaving_at_once():
-    """An entry that the store turns away hears from another one that a target leaves."""
+async def test_rejected_by_the_store_and_leaving_at_once():
+    """An entry cut off from the store is notified by another one that a target is leaving."""
     async with running_fleet(entries=3) as fleet:
         await asyncio.sleep(1.0)
         fleet.network.cut("10.1.0.1", "10.9.0.1")
@@ -161,7 +161,7 @@
         assert not fleet.targets["desk0"].seen
 
 
-async def test_a_write_whose_answer_is_lost_lists_an_entry_all_the_same():
+async def test_an_entry_is_listed_although_the_answer_to_its_write_is_lost():
     async with running_fleet() as fleet:
         fleet.store.faults.lose_next = 2
         await fleet.add_entry(2)
@@ -170,9 +170,9 @@
         assert fleet.entries[1].is_ready
 
 
-async def test_a_slow_store_delays_changes_and_nothing_else():
+async def test_a_slow_store_only_delays_changes():
     async with running_fleet() as fleet:
-        fleet.store.faults.delay_s = 0.25  # 60 times as long as usual
+        fleet.store.faults.delay_s = 0.25  # 60 times the usual delay
         fleet.store.put("op", "config", manifest(4, Tenants=[{"Name": "growers", "ApiKeys": []}]))
         asked = [(await fleet.ask("/tally/1", "GET")).status for _ in range(3)]
         assert set(asked) <= {200, 401}
@@ -180,7 +180,7 @@
         assert (await fleet.ask("/tally/1", "GET")).status == 401
 
 
-async def test_a_store_that_hangs_is_noticed_within_the_bound_on_keys():
+async def test_a_hanging_store_is_noticed_within_the_key_revocation_limit():
     async with running_fleet() as fleet:
         fleet.store.faults.outage = Outage.HANG
         await asyncio.sleep(5.2)
@@ -191,11 +191,11 @@
 
 
 @pytest.mark.parametrize("begun_s", [0.1, 0.4, 0.7, 1.0])
-async def test_a_key_that_is_taken_away_while_the_feed_is_deaf_is_refused_in_time(begun_s):
-    """The feed overlooks a change for a second, then the store is out of reach.
+async def test_a_key_revoked_while_the_feed_misses_changes_is_refused_in_time(begun_s):
+    """The feed misses a change for a second, then the store becomes unreachable.
 
-    A wait that ended in that second without news told that nothing had changed, and a key was
-    honoured for five seconds from its end, not from its beginning.
+    Guards against counting a wait that ended without changes as current at its end: a revoked key
+    was then accepted for five seconds from the end of the wait instead of its beginning.
     """
     async with running_fleet() as fleet:
         await asyncio.sleep(begun_s)
--- a/tests/fleet/test_vouching.py
+++ b/tests/fleet/test_vouching.py
@@ -1,4 +1,4 @@
-"""Entries that vouch for one another: who reads, who asks, and what a reply proves."""
+"""Freshness checks between entries: which read the store, which ask, and what a reply proves."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
     return [entry for entry in ENTRIES if entry.host != host]
 
 
-def test_two_entries_a_place_read():
+def test_two_entries_per_place_are_readers():
     readers = [
         entry
         for entry in ENTRIES
@@ -40,17 +40,17 @@
     assert sorted(entry.place for entry in readers) == ["hall", "hall", "room", "room"]
 
 
-def test_one_near_and_one_far_are_asked():
+def test_one_entry_of_the_same_place_and_one_of_another_are_asked():
     asked = choose_peers_to_query(LocalEntry("entry-0", "hall"), others("entry-0"))
     assert [entry.place for entry in asked] == ["hall", "room"]
 
 
-def test_an_entry_that_is_alone_asks_nobody_and_reads():
+def test_a_single_entry_asks_no_peer_and_reads():
     assert choose_peers_to_query(LocalEntry("entry-0", "hall"), []) == []
     assert is_route_reader(LocalEntry("entry-0", "hall"), [])
 
 
-async def test_an_entry_that_the_store_turns_away_serves_on():
+async def test_an_entry_cut_off_from_the_store_keeps_serving():
     async with running_fleet(entries=2) as fleet:
         await asyncio.sleep(1.0)
         fleet.network.cut("10.1.0.1", "10.9.0.1")
@@ -58,19 +58,19 @@
         assert (await fleet.ask("/sheet/1")).status == 200
 
 
-async def test_it_learns_of_a_key_that_is_taken_away():
+async def test_an_entry_cut_off_from_the_store_receives_a_key_revocation():
     async with running_fleet(entries=2) as fleet:
         await asyncio.sleep(1.0)
         fleet.network.cut("10.1.0.1", "10.9.0.1")
         await asyncio.sleep(4.0)
         fleet.store.put("op", "config", manifest(4, Tenants=[{"Name": "growers", "ApiKeys": []}]))
         await asyncio.sleep(3.0)
-        # What it knows is too old to deny the key for good, but not to refuse it.
+        # Its routes are too old to deny the key permanently, but it must refuse it.
         assert (await fleet.ask("/sheet/1")).status in (401, 503)
         assert fleet.entries[0].knowledge.routes.version == 4
 
 
-async def test_cut_off_from_all_it_refuses_keys_and_is_ready_no_more():
+async def test_an_entry_cut_off_from_all_refuses_keys_and_is_not_ready():
     async with running_fleet(entries=2) as fleet:
         await asyncio.sleep(1.0)
         fleet.network.cut("10.1.0.1", "10.9.0.1")
@@ -80,7 +80,7 @@
         assert (await fleet.get("10.1.0.1:8002", "/readiness"))[0] == 503
 
 
-async def test_an_answer_that_was_held_up_proves_less():
+async def test_a_delayed_answer_does_not_make_routes_look_newer():
     async with running_fleet(entries=2) as fleet:
         await asyncio.sleep(1.0)
         fleet.network.cut("10.1.0.1", "10.9.0.1")
@@ -92,7 +92,7 @@
         assert age_s > 3.5
 
 
-async def test_a_fresh_entry_learns_the_routes_from_another_while_the_store_is_down():
+async def test_a_new_entry_cut_off_from_the_store_gets_newer_routes_from_another():
     async with running_fleet(entries=1) as fleet:
         entry = await fleet.add_entry(2)
         await asyncio.sleep(1.0)
@@ -102,16 +102,16 @@
         assert entry.knowledge.routes.version == 7
 
 
-async def test_the_store_is_read_seldom_where_others_vouch():
+async def test_the_store_is_read_seldom_where_peers_confirm_the_routes():
     async with running_fleet(entries=4) as fleet:
         await asyncio.sleep(2.0)
         fleet.store.calls.clear()
         await asyncio.sleep(20.0)
-        # One reader at 1.2 s, three at 2.4 s, and four lists of targets at 4 s: 62 in 20 s.
+        # One reader each 1.2 s, three each 2.4 s, and four lists of targets each 4 s: 62 in 20 s.
         assert len(fleet.store.calls) < 70
 
 
-async def test_calls_for_the_routes_grow_with_the_places_and_not_with_the_entries():
+async def test_reads_of_the_routes_do_not_grow_with_the_number_of_entries():
     counts = []
     for entries in (3, 8):
         async with running_fleet(entries=entries) as fleet:
@@ -128,19 +128,19 @@
     return sum(float(line.rpartition(" ")[2]) for line in lines)
 
 
-async def test_an_entry_that_does_not_read_has_new_routes_as_soon_as_the_one_that_does():
+async def test_non_readers_have_new_routes_as_soon_as_readers():
     async with running_fleet(entries=4) as fleet:
         await asyncio.sleep(4.0)
         fleet.store.put("op", "config", manifest(4))
         fleet.store.put("op", "version/market", {"Model": "market", "Version": 2})
-        await asyncio.sleep(0.6)  # the reader lets changes gather for 0.4 s
+        await asyncio.sleep(0.6)  # the reader lets changes accumulate for 0.4 s
         for entry in fleet.entries:
             assert entry.knowledge.routes.version == 4
             assert [due.version for _, due in entry.knowledge.all_required_versions] == [2]
 
 
-async def test_large_routes_cross_a_border_once_a_place():
-    """Four entries here and four there; the store and the first reader are on either side."""
+async def test_large_routes_are_sent_to_each_place_once():
+    """Four entries are in each of two places, and the store and the first reader on either side."""
     async with running_fleet(entries=0) as fleet:
         for number in range(1, 9):
             await fleet.add_entry(number, "hall" if number <= 4 else "room")
@@ -153,11 +153,11 @@
         await asyncio.sleep(2.0)
         assert {entry.knowledge.routes.version for entry in fleet.entries} == {5}
         size = len(json.dumps(routes))
-        # Six entries get them, packed, from the two that read; not whole, and not twice.
+        # Six entries get them from the two readers, packed and only once.
         assert sum(entry._node.sent_bytes for entry in fleet.entries) - sent < 6 * size / 5
 
 
-def test_routes_that_do_not_unpack_are_refused():
+def test_invalid_packed_routes_are_refused():
     assert unpack_routes(pack_routes(b"routes")) == b"routes"
     for bad in (b"routes", pack_routes(bytes(ROUTES_LIMIT_BYTES + 1))):
         with pytest.raises(ProtocolViolation):
@@ -165,8 +165,8 @@
 
 
 @pytest.mark.parametrize("out", [1, 2, 3])
-async def test_readers_that_the_store_turns_away_keep_nobody_from_new_routes(out):
-    """The first readers of a place are turned away just before the routes change."""
+async def test_readers_cut_off_from_the_store_do_not_delay_new_routes(out):
+    """The first readers of a place are cut off from the store just before the routes change."""
     async with running_fleet(entries=0) as fleet:
         for number in range(1, 9):
             await fleet.add_entry(number, "hall" if number <= 4 else "room")
@@ -181,8 +181,8 @@
         assert versions == [5] * 8
 
 
-async def test_an_entry_that_the_store_turns_away_from_its_start_has_routes_from_others():
-    """It has no list of the others, who have it on theirs and listen to it again."""
+async def test_an_entry_cut_off_from_the_store_since_its_start_gets_routes_from_others():
+    """It has no list of the others, but they have it on theirs and watch it again."""
     async with running_fleet(entries=3) as fleet:
         await asyncio.sleep(3.0)
         await fleet.entries.pop().close()
@@ -193,9 +193,10 @@
         assert entry.knowledge.can_accept_keys(asyncio.get_running_loop().time())
 
 
-# 98 entries read the whole list of targets every 1.2 s, as each heartbeat of a target changes it:
-# 3,882 reads on a day on which nothing happened, and most of what crossed borders.
-async def test_the_list_of_targets_is_read_by_few_while_it_stays_the_same():
+# Guards against all entries reading the complete list of targets: each heartbeat of a target
+# changes it, so 98 entries read it every 1.2 s. On a day without events, that made 3,882 reads and
+# most of the traffic between places.
+async def test_an_unchanged_list_of_targets_is_read_only_by_readers():
     async with running_fleet(entries=8) as fleet:
         await asyncio.sleep(2.0)
         before = [store_reads("targets", entry) for entry in fleet.entries]
@@ -209,11 +210,11 @@
             store_reads("targets", entry) - old
             for entry, old in zip(fleet.entries, before, strict=True)
         ]
-        assert sum(count > 4 for count in reads) == 2  # those that read for their place
+        assert sum(count > 4 for count in reads) == 2  # the readers of their place
         assert sum(reads) < 50
 
 
-async def test_a_target_that_is_new_or_leaves_is_known_everywhere_in_time():
+async def test_new_and_leaving_targets_are_known_to_all_entries_in_time():
     async with running_fleet(entries=8) as fleet:
         await asyncio.sleep(3.0)
         target = fleet.targets["engine0"]
@@ -229,9 +230,9 @@
 
 
 @pytest.mark.parametrize(
-    ("digest", "age_s", "vouched"),
+    ("digest", "age_s", "confirmed"),
     [(7, 0.5, True), (7, LIST_CONFIRMED_MAX_AGE_S, False), (8, 0.5, False)],
 )
-def test_who_has_read_the_same_list_lately_vouches_for_it(digest, age_s, vouched):
+def test_an_entry_that_read_the_same_list_recently_confirms_it(digest, age_s, confirmed):
     other = PeerEntry("b", "hall", "10.1.0.2:7700", targets_age_s=age_s, targets_digest=digest)
-    assert is_target_list_confirmed(7, [other]) is vouched
+    assert is_target_list_confirmed(7, [other]) is confirmed
--- a/tests/fuzz/test_fuzz_entries.py
+++ b/tests/fuzz/test_fuzz_entries.py
@@ -1,4 +1,4 @@
-"""Whatever stands in the store or comes from an engine, decoding tells it apart and goes on."""
+"""Decoding handles arbitrary data in the store or from an engine, and continues after bad data."""
 
 import base64
 import json
@@ -32,7 +32,7 @@
 
 
 def replace_one(value, draw):
-    """Put something else in the place of one part of a JSON value, however deep."""
+    """Return a JSON value in which one part, at any depth, is replaced or removed."""
     match value:
         case dict() if value and draw(st.integers(0, 3)):
             name = draw(st.sampled_from(sorted(value)))
@@ -47,7 +47,7 @@
 
 @st.composite
 def sources(draw):
-    """Return bytes that a row or a report may consist of: any, or good ones but for a part."""
+    """Return the bytes of a row or a report: arbitrary, or valid JSON with one part replaced."""
     if draw(st.booleans()):
         return draw(st.binary(max_size=60))
     return json.dumps(replace_one(draw(st.sampled_from(GOOD)), draw)).encode()
@@ -55,7 +55,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(sources())
-def test_an_entry_is_read_or_named_unreadable(source):
+def test_a_row_is_decoded_or_reported_unreadable(source):
     for decode in (decode_routes, decode_due_version, lambda data: decode_target("i-1", data)):
         try:
             decode(source)
@@ -65,7 +65,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(sources())
-def test_a_report_is_read_or_its_engine_counts_as_out_of_reach(source):
+def test_a_report_is_decoded_or_its_engine_counts_as_unreachable(source):
     try:
         report = _decode(Response(200, {}, source), _decode_report)
     except TargetUnreachable as error:
@@ -76,7 +76,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(st.sampled_from(Topic), st.lists(sources() | VALUES, max_size=4))
-def test_each_row_of_an_answer_counts_by_itself(topic, values):
+def test_each_row_of_a_page_is_decoded_independently(topic, values):
     rows = [{"Key": f"k{index}", "Value": as_value(each)} for index, each in enumerate(values)]
     page = _decode_page({"Rows": rows, "SchemaVersion": 9}, 0)
     changes = list(_changes(topic, page.rows))
--- a/tests/fuzz/test_fuzz_fleet.py
+++ b/tests/fuzz/test_fuzz_fleet.py
@@ -1,7 +1,7 @@
-"""Hostile calls at every listener of a running fleet, which must go on serving.
+"""Send hostile input to every listener of a running fleet, which must keep serving.
 
-Callers and operators send whatever HTTP carries; a process of the fleet that has the key, but is
-broken, sends messages with fields that are missing or out of any range.
+Callers and operators send arbitrary HTTP. A broken process that has the fleet's key sends messages
+with missing or out-of-range fields.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 
 
 async def call(fleet: MemoryFleet, path: str, **headers: str) -> Response:
-    """Send a good request as the account `saleyard`."""
+    """Send a valid request as the account `saleyard`."""
     body = json.dumps({"prompt": "prices", "pieces": 3, "mark": "m"}).encode()
     address = fleet.hosts["entry-1"].member.caller_address
     everything = {**fleet.caller_headers("saleyard"), "deadline-ms": "3000", **headers}
@@ -78,7 +78,7 @@
 
 
 async def assert_well(fleet: MemoryFleet) -> None:
-    """Good calls of every kind succeed."""
+    """Assert that valid calls of every kind succeed."""
     assert await is_served(fleet, MODEL_PATH)
     assert await is_served(fleet, PLAIN_PATH)
     for words in QUESTIONS:
@@ -89,7 +89,7 @@
 
 
 def under(attack: Attack) -> None:
-    """Attack a fleet that serves a model and a plain service, and see that it still does."""
+    """Attack a fleet that serves a model and a plain service; check that it still serves both."""
     configure_log(LogFormat.TEXT, "critical")
 
     async def run() -> None:
@@ -114,14 +114,14 @@
 
 
 def assert_clear(response: Response) -> None:
-    """An answer, or a refusal with its code and remedy that tells nothing of the inside."""
+    """Assert that a response is an answer, or an error with code and remedy but no internals."""
     text = response.content.decode("utf-8", "replace")
     assert "Traceback" not in text and "lacewinggw/" not in text, text
     assert response.status < 500 or response.status in (503, 504), text
     if response.status >= 400:
-        told = json.loads(text)
-        assert told["code"].startswith("LW-"), text
-        assert told["remedy"], text
+        problem = json.loads(text)
+        assert problem["code"].startswith("LW-"), text
+        assert problem["remedy"], text
 
 
 # ---- callers and operators -----------------------------------------------------------------
@@ -159,7 +159,9 @@
 
 @FEW
 @given(st.lists(caller_calls(), min_size=10, max_size=15))
-def test_callers_of_any_content(calls: list[tuple[str, str, dict[str, str], bytes]]) -> None:
+def test_arbitrary_calls_of_callers_do_not_break_the_fleet(
+    calls: list[tuple[str, str, dict[str, str], bytes]],
+) -> None:
     async def attack(fleet: MemoryFleet) -> None:
         address = fleet.hosts["entry-1"].member.caller_address
         for method, path, headers, body in calls:
@@ -202,7 +204,9 @@
 
 @FEW
 @given(st.lists(operator_calls(), min_size=8, max_size=12))
-def test_operators_of_any_content(calls: list[tuple[str, str, bytes]]) -> None:
+def test_arbitrary_calls_of_operators_do_not_break_the_fleet(
+    calls: list[tuple[str, str, bytes]],
+) -> None:
     async def attack(fleet: MemoryFleet) -> None:
         address = fleet.hosts["entry-2"].member.operator_address
         for method, path, body in calls:
@@ -232,8 +236,8 @@
 
 
 @dataclass
-class Scribbler:
-    """Writes messages of any content, some of whose names are `known` ones that fit."""
+class MessageGenerator:
+    """Generates arbitrary messages; some fields get a valid value from `known`."""
 
     rng: random.Random
     known: Known
@@ -241,7 +245,7 @@
     least: float = 0.0
 
     def message(self, kind: type[Any]) -> Any:
-        """Return a message; how wild it is differs from one to the next."""
+        """Return a message; the share of invalid fields varies between messages."""
         self.missing_share = self.rng.choice([0.0, 0.0, 0.02, 0.2])
         self.least = self.rng.choice([0.0, -float("inf")])
         return self._struct(kind, 0)
@@ -285,7 +289,7 @@
 
 
 async def send(link: PeerLink, message: Any) -> None:
-    """Send a message once as a notification and once as a call."""
+    """Send a message as a notification and then as a call."""
     link.notify(message)
     try:
         await link.call(message, ANSWER_S)
@@ -295,22 +299,22 @@
 
 @pytest.mark.parametrize("victim", ["entry-1", "host-001"])
 @pytest.mark.parametrize("host", ["host-001", "entry-2"])
-def test_broken_process_of_the_fleet(victim: str, host: str) -> None:
+def test_a_broken_process_does_not_break_the_fleet(victim: str, host: str) -> None:
     rng = random.Random(f"{victim}/{host}")
 
     async def attack(fleet: MemoryFleet) -> None:
         role = Role.AGENT if host.startswith("host") else Role.ENTRY
         node = broken_process(fleet, host, role)
         address = fleet.hosts[HostId(victim)].member.address
-        told = await ask(fleet, "show targets")
-        table = [dict(zip(told.json()["columns"], row, strict=True)) for row in told.json()["rows"]]
+        page = await ask(fleet, "show targets")
+        table = [dict(zip(page.json()["columns"], row, strict=True)) for row in page.json()["rows"]]
         known = {"host": host, "entry": host, "service_name": "bulletin-writer"}
         known["digest"] = next(row["digest"] for row in table if row["host"] == "host-001")
         known["account"] = "saleyard"
-        scribbler = Scribbler(rng, known)
+        generator = MessageGenerator(rng, known)
         for _ in range(ROUNDS):
             for kind in KINDS:
-                await send(await node.link(address), scribbler.message(kind))
+                await send(await node.link(address), generator.message(kind))
             for path in (MODEL_PATH, PLAIN_PATH):
                 assert_clear(await call(fleet, path))
             for words in QUESTIONS:
@@ -320,10 +324,10 @@
     under(attack)
 
 
-# ---- strangers and thieves -----------------------------------------------------------------
+# ---- wrong keys and stolen tickets ---------------------------------------------------------
 
 
-def test_tokens_and_tickets_of_others_are_refused() -> None:
+def test_invalid_tokens_and_stolen_tickets_are_refused() -> None:
     async def attack(fleet: MemoryFleet) -> None:
         for token in ("", "Bearer", "Bearer wrong", "Basic lab-caller-saleyard"):
             for path in (MODEL_PATH, "/v1/tickets?service=bulletin-writer"):
@@ -356,7 +360,7 @@
     under(attack)
 
 
-def test_order_and_placement_from_a_stranger_change_nothing() -> None:
+def test_messages_with_a_wrong_fleet_key_change_nothing() -> None:
     async def attack(fleet: MemoryFleet) -> None:
         stranger = broken_process(fleet, "entry-9", Role.ENTRY, "another key")
         place = messages.Place("bulletin-writer", [], "a stranger", ["host-001"])
@@ -372,7 +376,7 @@
     under(attack)
 
 
-def test_long_and_slow_callers_cost_nobody_else() -> None:
+def test_long_and_slow_callers_do_not_affect_others() -> None:
     async def attack(fleet: MemoryFleet) -> None:
         limit = fleet.hosts[HostId("entry-1")].settings.entry.body_limit_bytes
         address = fleet.hosts[HostId("entry-1")].member.caller_address
--- a/tests/fuzz/test_fuzz_frontend.py
+++ b/tests/fuzz/test_fuzz_frontend.py
@@ -1,4 +1,4 @@
-"""Whatever callers and targets send to an entry of a declared fleet, its answers stay honest."""
+"""An entry of a declared fleet answers correctly whatever bytes callers and targets send to it."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 @st.composite
 def damaged(draw, whole):
-    """Return bytes with a part cut out, doubled or replaced."""
+    """Return the bytes with a part removed, doubled or replaced."""
     start = draw(st.integers(0, len(whole)))
     end = draw(st.integers(start, min(len(whole), start + 20)))
     middle = draw(st.sampled_from([b"", whole[start:end] * 2, draw(st.binary(max_size=20))]))
@@ -36,7 +36,7 @@
 
 
 async def answered_with(answer: bytes) -> Reply:
-    """Have a target answer with these bytes, and return what the caller gets."""
+    """Return the answer that a caller gets if a target answers with the given bytes."""
     async with running_fleet(desks=0, engines=0) as fleet:
 
         async def respond(stream):
@@ -53,7 +53,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(st.one_of(st.binary(max_size=300), damaged(PROPER)))
-def test_a_caller_s_bytes_are_served_as_meant_or_refused(sent):
+def test_arbitrary_bytes_of_a_caller_are_served_or_refused(sent):
     reply, bodies = run_virtual(ask_with(sent))
     if reply.status == 200:
         assert reply.whole and len(bodies) >= 1
@@ -65,7 +65,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(st.one_of(st.binary(max_size=300), damaged(ANSWER)))
-def test_a_target_s_bytes_never_become_another_answer(answer):
+def test_arbitrary_bytes_of_a_target_never_become_another_answer(answer):
     reply = run_virtual(answered_with(answer))
     if reply.status == 200:
         assert b"HTTP/1.1 200" in answer and reply.whole
@@ -93,7 +93,7 @@
     ],
     ids=["whole", "doubled", "cut", "of another", "unmarked", "not run", "nonsense", "nothing"],
 )
-def test_each_way_of_a_broken_answer(answer, status):
+def test_each_kind_of_broken_answer_gets_its_status(answer, status):
     reply = run_virtual(answered_with(answer))
     assert reply.status == status
     assert (reply.body == b"fine") is (status == 200)
--- a/tests/test_target_facts.py
+++ b/tests/test_target_facts.py
@@ -1,4 +1,4 @@
-"""All that targets say of themselves has a line that tells who acts on it."""
+"""Each field that targets report about themselves is documented with the component acting on it."""
 
 import dataclasses
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("fact", FACTS)
-def test_who_acts_on_each_fact_of_a_target_is_told(fact):
+def test_each_target_fact_has_a_documented_consumer(fact):
     lines = [line for line in PAGE.splitlines() if fact in line]
     assert len(lines) == 1, f"one line of docs/design/targets.md has to have {fact}"
     assert all(cell.strip() for cell in lines[0].strip("|").split("|")[:4])
