--- a/src/lacewinggw/fleet/agentupdates.py
+++ b/src/lacewinggw/fleet/agentupdates.py
@@ -20,10 +20,10 @@
 
 
 def compose_update(
-    knowledge: RoutingView, service: Service, position: StorePosition, now: float
+    view: RoutingView, service: Service, position: StorePosition, now: float
 ) -> messages.FleetUpdate | None:
     """Return the update for the agents of a service; None while required data is missing."""
-    table = knowledge.routes
+    table = view.routes
     if table is None or service.weights is None or not service.models:
         return None
     model = service.models[0]
@@ -41,11 +41,11 @@
         resumable=are_all_resumable(table, service.name),
         named=[
             messages.NamedVersion(due.version, round((now - due.received_at) * MS_PER_S))
-            for due in knowledge.required_versions(model)
+            for due in view.required_versions(model)
         ],
         targets_position=position.revision,
         store_era=position.era,
-        targets=[_encode_target(each) for each in _remaining_targets(knowledge, service.name)],
+        targets=[_encode_target(each) for each in _remaining_targets(view, service.name)],
     )
 
 
@@ -74,11 +74,11 @@
     )
 
 
-def _remaining_targets(knowledge: RoutingView, name: ServiceName) -> Sequence[TargetEntry]:
+def _remaining_targets(view: RoutingView, name: ServiceName) -> Sequence[TargetEntry]:
     return [
         entry
-        for entry in knowledge.targets.values()
-        if entry.service == name and entry.target not in knowledge.leaving
+        for entry in view.targets.values()
+        if entry.service == name and entry.target not in view.leaving
     ]
 
 
--- a/src/lacewinggw/fleet/follower.py
+++ b/src/lacewinggw/fleet/follower.py
@@ -52,7 +52,7 @@
 
 
 class TopicFollower:
-    """Keeps a topic up to date and calls `apply` with each update and its proof of freshness.
+    """Keeps a topic up to date and calls `apply` with each update and the times of its call.
 
     A silent connection is noticed a little after the poll time, so the poll time bounds the age of
     the data. Nothing is read while `is_needed` returns false, because another entry sends updates,
@@ -100,7 +100,7 @@
         self._idle_s = MIN_IDLE_S
         self._reads = metrics.counter("store_reads", topic=topic)
         self._unreadable = metrics.counter("store_entries_unreadable", topic=topic)
-        self._reported_unreadable: dict[str, int] = {}  # the last revision reported, by key
+        self._logged_unreadable: dict[str, int] = {}  # the last revision reported, by key
         self._loop = Background(f"follow {topic.value}", self._run)
 
     @property
@@ -174,7 +174,7 @@
                 self._is_restored = False
             self._position = max(self.position, update.position)
             self._was_read = True
-            self._report_unreadable(update)
+            self._log_unreadable(update)
             self._apply(
                 update, self._store_clock.answer_times(sent_at, self._clock(), update.store_time_s)
             )
@@ -208,17 +208,17 @@
         wait_s = 0.0 if is_urgent else self._poll_times().for_update_s
         return await self._feed.changes(self._topic, self._position, wait_s)
 
-    def _report_unreadable(self, update: FeedUpdate) -> None:
+    def _log_unreadable(self, update: FeedUpdate) -> None:
         """Log and count each unreadable item, once per revision."""
         found = [each for each in update.changes if isinstance(each, UnreadableItem)]
         if update.whole:
             listed = {each.key for each in found}
-            for key in self._reported_unreadable.keys() - listed:
-                del self._reported_unreadable[key]
+            for key in self._logged_unreadable.keys() - listed:
+                del self._logged_unreadable[key]
         for each in found:
-            if self._reported_unreadable.get(each.key) == each.revision:
+            if self._logged_unreadable.get(each.key) == each.revision:
                 continue
-            self._reported_unreadable[each.key] = each.revision
+            self._logged_unreadable[each.key] = each.revision
             self._unreadable.add()
             log.warning(
                 "store_entry_unreadable",
--- a/src/lacewinggw/fleet/listing.py
+++ b/src/lacewinggw/fleet/listing.py
@@ -12,15 +12,15 @@
 from lacewinggw.ids import TargetName
 
 
-def apply_target_list(knowledge: RoutingView, update: FeedUpdate, now: float) -> None:
+def apply_target_list(view: RoutingView, update: FeedUpdate, now: float) -> None:
     """Apply targets that are new, changed or removed; an unreadable one is removed at once."""
     if update.whole:
-        knowledge.replace_targets(listed_targets(update), now, update.restored)
+        view.replace_targets(listed_targets(update), now, update.restored)
     for change in update.changes:
         match change:
             case ItemChanged(TargetEntry() as entry) if not update.whole:
-                knowledge.update_target(entry)
+                view.update_target(entry)
             case ItemRemoved(key):
-                knowledge.remove_delisted(TargetName(key), now)
+                view.remove_delisted(TargetName(key), now)
             case UnreadableItem(key):
-                knowledge.remove_unreadable(TargetName(key))
+                view.remove_unreadable(TargetName(key))
--- a/src/lacewinggw/frontend/admission.py
+++ b/src/lacewinggw/frontend/admission.py
@@ -48,18 +48,18 @@
 
 
 def admit(
-    call: Call, facts: CallFacts, knowledge: RoutingView, now: float, rng: random.Random
+    call: Call, facts: CallFacts, view: RoutingView, now: float, rng: random.Random
 ) -> AdmittedRequest:
-    """Return the request with its route and account; `now` is by the clock of `knowledge`.
+    """Return the request with its route and account; `now` is by the clock of `view`.
 
     Raise `NotReady` while the cached routes are missing or too old to decide, `UnknownPath` for an
     unknown route, and `BadToken` for an unknown key.
     """
-    table = knowledge.routes
+    table = view.routes
     if table is None:
         raise NotReady("the routes have not been received yet", retry_after_ms=CATCH_UP_MS)
-    route = _find_route(call, table, knowledge, now)
-    account = _find_account(facts, route, table, knowledge, now)
+    route = _find_route(call, table, view, now)
+    account = _find_account(facts, route, table, view, now)
     priority = route.priority
     if account is not None and account.priority is not None:
         priority = account.priority
@@ -75,25 +75,25 @@
     )
 
 
-def _find_route(call: Call, table: RouteTable, knowledge: RoutingView, now: float) -> Route:
+def _find_route(call: Call, table: RouteTable, view: RoutingView, now: float) -> Route:
     route = table.find(call.domain, call.path)
     if route is not None:
         return route
-    if not knowledge.can_deny_unknown(now):
+    if not view.can_deny_unknown(now):
         raise NotReady("the routes may have changed", retry_after_ms=CATCH_UP_MS)
     raise UnknownPath(f"no route for {call.domain}{call.path}")
 
 
 def _find_account(
-    facts: CallFacts, route: Route, table: RouteTable, knowledge: RoutingView, now: float
+    facts: CallFacts, route: Route, table: RouteTable, view: RoutingView, now: float
 ) -> ClientAccount | None:
     account = table.account_of(facts.key)
     if account is None and (route.anonymous or not table.needs_key):
         return None
     if account is None:
-        if not knowledge.can_deny_unknown(now):
+        if not view.can_deny_unknown(now):
             raise NotReady("the keys may have changed", retry_after_ms=CATCH_UP_MS)
         raise BadToken("no client account holds this key")
-    if not knowledge.can_accept_keys(now):
+    if not view.can_accept_keys(now):
         raise NotReady("keys cannot be checked: the store is unreachable", retry_after_ms=1000)
     return account
--- a/src/lacewinggw/frontend/agents.py
+++ b/src/lacewinggw/frontend/agents.py
@@ -46,10 +46,10 @@
     def __init__(
         self,
         node: PeerNode,
-        me: HostId,
+        own_host: HostId,
         place: Place,
         port: str,
-        knowledge: RoutingView,
+        view: RoutingView,
         pool: TargetPool,
         leaving_targets: LeavingTargets,
         notifiers: Callable[[], Sequence[HostId]],
@@ -57,16 +57,16 @@
         rng: random.Random,
     ) -> None:
         self._node = node
-        self._me = me
+        self._own_host = own_host
         self._place = place
         self._port = port
-        self._knowledge = knowledge
+        self._view = view
         self._pool = pool
         self._leaving_targets = leaving_targets
         self._notifiers = notifiers
         self._clock = clock
         self._store: StoreFollower | None = None
-        self._watches = AgentWatches(node, me, lambda host: None, rng)
+        self._watches = AgentWatches(node, own_host, lambda host: None, rng)
         self._sent: dict[ServiceName, _SentUpdate] = {}
         self._changed = asyncio.Event()
         self._loop = Background("fleet updates", self._run)
@@ -88,14 +88,14 @@
         self._changed.set()
 
     def _watch(self) -> None:
-        routes = self._knowledge.routes
+        routes = self._view.routes
         if routes is None:
             return
         engines = {name for name, each in routes.services.items() if each.engine is not None}
-        entries = [entry for entry in self._knowledge.targets.values() if entry.service in engines]
+        entries = [entry for entry in self._view.targets.values() if entry.service in engines]
         agents = {self._agent_of(entry): entry.place for entry in entries}
         places = {agent.host: place for agent, place in agents.items()}
-        wanted = choose_agents(self._me, self._place, places)
+        wanted = choose_agents(self._own_host, self._place, places)
         notifiers = self._notifiers()
         self._watches.set_targets(
             {a for a in agents if a.host in wanted or self._notifies(a.host, notifiers)}
@@ -105,7 +105,7 @@
         """Apply an agent's update about its target."""
         require_sound(update)
         name = TargetName(update.name)
-        self._knowledge.record_incarnation(name, update.born_ms)
+        self._view.record_incarnation(name, update.born_ms)
         self._leaving_targets.publish_new(LeavingSource.AGENT)
         target = make_target_id(name, update.born_ms)
         now = asyncio.get_running_loop().time()
@@ -132,16 +132,16 @@
             await asyncio.sleep(COALESCE_S)
 
     def _send_updates(self) -> None:
-        routes, store = self._knowledge.routes, self._store
+        routes, store = self._view.routes, self._store
         if routes is None or store is None or not store.has_targets:
             return
         notifiers = self._notifiers()
         for service in routes.services.values():
             position = store.targets_position
-            update = compose_update(self._knowledge, service, position, self._clock())
+            update = compose_update(self._view, service, position, self._clock())
             if update is None or not self._is_due(service.name, update):
                 continue
-            for entry in self._knowledge.targets.values():
+            for entry in self._view.targets.values():
                 agent = self._agent_of(entry)
                 if entry.service == service.name and self._notifies(agent.host, notifiers):
                     self._node.notify_open(agent.address, update)
@@ -163,4 +163,6 @@
         return True
 
     def _notifies(self, agent: HostId, notifiers: Sequence[HostId]) -> bool:
-        return rendezvous_rank(f"fleet news/{agent}", self._me, notifiers) < NOTIFIERS_PER_AGENT
+        return (
+            rendezvous_rank(f"fleet news/{agent}", self._own_host, notifiers) < NOTIFIERS_PER_AGENT
+        )
--- a/src/lacewinggw/frontend/callers.py
+++ b/src/lacewinggw/frontend/callers.py
@@ -262,11 +262,11 @@
             task.cancel()
         if self._busy and grace_s > 0:
             await asyncio.wait(set(self._busy), timeout=grace_s)
-        rest = {*self._idle, *self._busy}
-        for task in rest:
+        remaining = {*self._idle, *self._busy}
+        for task in remaining:
             task.cancel()
-        if rest:
-            await asyncio.wait(rest)
+        if remaining:
+            await asyncio.wait(remaining)
 
     async def _accept(self, stream: Stream) -> None:
         task = asyncio.current_task()
--- a/src/lacewinggw/frontend/crashes.py
+++ b/src/lacewinggw/frontend/crashes.py
@@ -66,14 +66,14 @@
         self._broadcast = broadcast
         self._is_forwarder = is_forwarder
         self._clock = clock
-        self._ledger = CrashTracker()
-        self._rows = CrashRows(rows, self._ledger, rng)
+        self._tracker = CrashTracker()
+        self._rows = CrashRows(rows, self._tracker, rng)
         self._pending = CrashReport()
         self._probes: dict[TargetId, asyncio.Task[bool]] = {}
         self._ended_targets: dict[TargetId, None] = {}
         self._changed = asyncio.Event()
         self._crashes = metrics.counter("target_crashes")
-        metrics.read_gauge("requests_quarantined", lambda: len(self._ledger.quarantined))
+        metrics.read_gauge("requests_quarantined", lambda: len(self._tracker.quarantined))
         self._loop = Background("crash updates", self._run)
 
     async def start(self) -> None:
@@ -92,12 +92,12 @@
 
     def require_not_quarantined(self, admitted: AdmittedRequest) -> None:
         """Raise `RequestQuarantined` if the request is quarantined."""
-        if self._ledger.is_empty:
+        if self._tracker.is_empty:
             return
         now = self._clock()
-        if self._ledger.status(admitted.digest, now) is not CrashStatus.QUARANTINED:
+        if self._tracker.status(admitted.digest, now) is not CrashStatus.QUARANTINED:
             return
-        left_ms = round(self._ledger.quarantine_left(admitted.digest, now) * MS_PER_S)
+        left_ms = round(self._tracker.quarantine_left(admitted.digest, now) * MS_PER_S)
         raise RequestQuarantined(
             f"targets of {admitted.service} crashed while running this request",
             retry_after_ms=left_ms,
@@ -130,17 +130,17 @@
 
     def note_served(self, admitted: AdmittedRequest) -> None:
         """Record that a target served a request."""
-        if self._ledger.is_empty:
+        if self._tracker.is_empty:
             return
         now = self._clock()
-        if self._ledger.note_served(admitted.digest, now):
+        if self._tracker.note_served(admitted.digest, now):
             self._pending.served.append(Served(admitted.digest, now))
             self._changed.set()
 
     def _status(self, admitted: AdmittedRequest) -> CrashStatus:
-        if self._ledger.is_empty:
+        if self._tracker.is_empty:
             return CrashStatus.CLEAR
-        return self._ledger.status(admitted.digest, self._clock())
+        return self._tracker.status(admitted.digest, self._clock())
 
     async def _probe(self, entry: TargetEntry) -> bool:
         """Return whether this incarnation of a target has ended."""
@@ -164,7 +164,7 @@
         if probe.cancelled() or probe.exception() is not None or not probe.result():
             return
         self._rows.note_observed(crash.request, service)
-        if self._ledger.note_crash(crash, self._clock()):
+        if self._tracker.note_crash(crash, self._clock()):
             self._pending.crashes.append(crash)
         self._changed.set()
 
@@ -172,14 +172,14 @@
 
     def compose_full_update(self) -> messages.CrashUpdate | None:
         """Return the complete state for a new subscriber; None if there is nothing to report."""
-        if self._ledger.is_empty:
+        if self._tracker.is_empty:
             return None
-        return CrashReport.from_ledger(self._ledger).to_message(self._clock())
+        return CrashReport.from_ledger(self._tracker).to_message(self._clock())
 
     def apply_update(self, update: messages.CrashUpdate) -> None:
         """Merge the update of another entry; raise `ProtocolViolation` if it is invalid."""
         now = self._clock()
-        new = merge_report(self._ledger, CrashReport.from_message(update, now), now)
+        new = merge_report(self._tracker, CrashReport.from_message(update, now), now)
         self._apply_received(new, "entry")
 
     def apply_store_change(self, change: CrashingRequest | QuarantineLifted) -> None:
@@ -190,10 +190,10 @@
                 crashes = sequential_crashes(request, targets, ASSUMED_INTERVAL_S, now)
                 quarantined = [request] if is_quarantined else []
                 listed = CrashReport(crashes, [], quarantined)
-                self._apply_received(merge_report(self._ledger, listed, now), "store")
+                self._apply_received(merge_report(self._tracker, listed, now), "store")
             case QuarantineLifted(request):
                 self._rows.note_removed(request)
-                if self._ledger.lift_quarantine(request):
+                if self._tracker.lift_quarantine(request):
                     log.info("quarantine_lifted", digest=request, source="store")
 
     def rewrite_missing(self, listed: Set[str]) -> None:
@@ -208,7 +208,7 @@
         self._changed.set()
 
     def _log_quarantined(self, request: RequestDigest, source: str) -> None:
-        crashes = self._ledger.crash_count(request)
+        crashes = self._tracker.crash_count(request)
         log.warning("request_quarantined", digest=request, crashes=crashes, source=source)
 
     async def _run(self) -> None:
@@ -224,20 +224,20 @@
 
     async def _wait_for_update(self) -> None:
         """Wait until there is something to send or to evaluate."""
-        wait_s = max(0.0, self._ledger.next_check_at - self._clock())
+        wait_s = max(0.0, self._tracker.next_check_at - self._clock())
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_s if math.isfinite(wait_s) else None):
                 await self._changed.wait()
         self._changed.clear()
 
     def _quarantine_new(self) -> None:
-        for request in self._ledger.quarantine_culprits(self._clock()):
+        for request in self._tracker.quarantine_culprits(self._clock()):
             self._log_quarantined(request, "own")
             self._pending.quarantined.append(request)
 
     def _end_expired(self) -> None:
-        for request in self._ledger.expired_quarantines(self._clock()):
-            self._ledger.lift_quarantine(request)
+        for request in self._tracker.expired_quarantines(self._clock()):
+            self._tracker.lift_quarantine(request)
             log.info("quarantine_lifted", digest=request, source="time")
             if self._is_forwarder():
                 self._rows.remove(request)
--- a/src/lacewinggw/frontend/crashrows.py
+++ b/src/lacewinggw/frontend/crashrows.py
@@ -18,19 +18,19 @@
 
 
 class CrashRows:
-    """Writes the ledger's records of the requests whose crashes this entry observed itself.
+    """Writes the tracker's records of the requests whose crashes this entry observed itself.
 
     Two successive crashes are written at once, because all entries may end before a third crash is
     evaluated. Only entries that observed a request write its row, so that a few entries write it
     instead of all.
 
         rows.note_observed(request, service)
-        rows.update()  # after the ledger has changed
+        rows.update()  # after the tracker has changed
     """
 
-    def __init__(self, rows: OwnRows, ledger: CrashTracker, rng: random.Random) -> None:
+    def __init__(self, rows: OwnRows, tracker: CrashTracker, rng: random.Random) -> None:
         self._rows = rows
-        self._ledger = ledger
+        self._tracker = tracker
         self._rng = rng
         self._services: dict[RequestDigest, ServiceName] = {}  # of the observed requests
         self._written: dict[RequestDigest, CrashingRequest] = {}
@@ -51,10 +51,10 @@
         self._services.setdefault(request, service)
 
     def update(self) -> None:
-        """Schedule writes for the rows that differ from the ledger."""
+        """Schedule writes for the rows that differ from the tracker's records."""
         for request, service in list(self._services.items()):
             entry = self._entry_of(request, service)
-            if entry is None and self._ledger.crash_count(request) == 0:
+            if entry is None and self._tracker.crash_count(request) == 0:
                 del self._services[request]
             if entry == self._written.get(request):
                 continue
@@ -82,10 +82,10 @@
     def _entry_of(self, request: RequestDigest, service: ServiceName) -> CrashingRequest | None:
         """Return the row to write for a request; None if it is not suspected."""
         before = self._written.get(request)
-        is_quarantined = request in self._ledger.quarantined
+        is_quarantined = request in self._tracker.quarantined
         if is_quarantined and before is not None and before.is_quarantined:
             return before  # later crashes of attempts already in progress add nothing
-        targets = tuple(self._ledger.sequential_targets(request))
+        targets = tuple(self._tracker.sequential_targets(request))
         if not is_quarantined and len(targets) < SUSPECT_CRASHES:
             return None
         return CrashingRequest(request, service, targets, is_quarantined)
--- a/src/lacewinggw/frontend/crashupdates.py
+++ b/src/lacewinggw/frontend/crashupdates.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Served:
-    """A suspected request that was served; `at` is by the clock of the ledger."""
+    """A suspected request that was served; `at` is by the clock of the tracker."""
 
     request: RequestDigest
     at: float
@@ -31,10 +31,10 @@
         return bool(self.crashes or self.served or self.quarantined)
 
     @classmethod
-    def from_ledger(cls, ledger: CrashTracker) -> "CrashReport":
-        """Return the complete contents of a ledger."""
-        served = [Served(request, at) for request, at in ledger.served()]
-        return cls(list(ledger.crashes()), served, list(ledger.quarantined))
+    def from_ledger(cls, tracker: CrashTracker) -> "CrashReport":
+        """Return the complete contents of a tracker."""
+        served = [Served(request, at) for request, at in tracker.served()]
+        return cls(list(tracker.crashes()), served, list(tracker.quarantined))
 
     @classmethod
     def from_message(cls, update: messages.CrashUpdate, now: float) -> "CrashReport":
@@ -67,11 +67,11 @@
         self.quarantined += other.quarantined
 
 
-def merge_report(ledger: CrashTracker, report: CrashReport, now: float) -> CrashReport:
-    """Merge a report into a ledger; return the part that was new."""
-    served = [each for each in report.served if ledger.note_served(each.request, each.at)]
-    crashes = [crash for crash in report.crashes if ledger.note_crash(crash, now)]
-    quarantined = [each for each in report.quarantined if ledger.quarantine(each, now)]
+def merge_report(tracker: CrashTracker, report: CrashReport, now: float) -> CrashReport:
+    """Merge a report into a tracker; return the part that was new."""
+    served = [each for each in report.served if tracker.note_served(each.request, each.at)]
+    crashes = [crash for crash in report.crashes if tracker.note_crash(crash, now)]
+    quarantined = [each for each in report.quarantined if tracker.quarantine(each, now)]
     return CrashReport(crashes, served, quarantined)
 
 
--- a/src/lacewinggw/frontend/dispatchqueue.py
+++ b/src/lacewinggw/frontend/dispatchqueue.py
@@ -61,7 +61,7 @@
         self._pool = pool
         self._ask_slot = ask_slot
         self._leases: dict[int, Lease] = {}
-        self._lines: dict[ServiceName, WaitQueue] = defaultdict(WaitQueue)
+        self._queues: dict[ServiceName, WaitQueue] = defaultdict(WaitQueue)
         self._waiting_requests: dict[int, _WaitingRequest] = {}
         self._searches: set[SlotSearch] = set()
         self._wait = metrics.latency("queue_wait")
@@ -85,21 +85,21 @@
         is too long, or at `until` if no target became available.
         """
         now = _now()
-        line = self._lines[requirements.service]
-        fitting = self._pool.eligible(requirements)
-        if not fitting:
+        queue = self._queues[requirements.service]
+        eligible = self._pool.eligible(requirements)
+        if not eligible:
             raise self._build_refusal(requirements)
-        if self._pool.choose_for_slot(fitting, now, frozenset()) is not None:
+        if self._pool.choose_for_slot(eligible, now, frozenset()) is not None:
             return await self._claim_slot(requirements, priority, is_late, until)
-        if not len(line):
-            load = self._pool.choose(fitting, now, is_late)
+        if not len(queue):
+            load = self._pool.choose(eligible, now, is_late)
             if load is not None:
-                return self._begin(line, load, requirements, now)
-        allowed_at = min(load.allowed_at(now) for load in fitting)
-        expected_s = line.expected_wait(priority, is_late)
+                return self._begin(queue, load, requirements, now)
+        allowed_at = min(load.allowed_at(now) for load in eligible)
+        expected_s = queue.expected_wait(priority, is_late)
         if max(allowed_at, now + expected_s) > until:
             raise self._build_refusal(requirements)
-        return await self._wait_for(line, requirements, line.add(priority, is_late, until))
+        return await self._wait_for(queue, requirements, queue.add(priority, is_late, until))
 
     def release(self, claim: InFlightRequest) -> None:
         """Release the claim of a finished request and advance the queue of its service."""
@@ -127,14 +127,14 @@
             arrived_at=began,
         )
         lease = await self._find_permitted(search, until)
-        line = self._lines[requirements.service]
+        queue = self._queues[requirements.service]
         if is_late and _now() - began > IMMEDIATE_START_S:
-            line.note_late_outcome(started=lease is not None)
+            queue.note_late_outcome(started=lease is not None)
         if lease is None:
             raise self._build_refusal(requirements)
         now = _now()
         self._wait.record(now - began)
-        claim = self._begin(line, lease.load, requirements, now)
+        claim = self._begin(queue, lease.load, requirements, now)
         self._leases[id(claim)] = lease
         return claim
 
@@ -163,23 +163,23 @@
         now = _now()
         for search in self._searches:
             search.withdraw_where(lambda load: not self._pool.may_send(load, now))
-        for line in self._lines.values():
-            self._refuse_unservable(line, now)
+        for queue in self._queues.values():
+            self._refuse_unservable(queue, now)
 
-    def _refuse_unservable(self, line: WaitQueue, now: float) -> None:
+    def _refuse_unservable(self, queue: WaitQueue, now: float) -> None:
         """Refuse queued requests that no target will accept before their wait ends."""
-        for waiter in list(line.in_order()):
+        for waiter in list(queue.in_order()):
             waiting = self._waiting_requests.get(id(waiter))
             if waiting is None or waiting.found.done():
                 continue
             if self._next_open_at(waiting.requirements, now) > waiter.until:
                 waiting.found.set_exception(self._build_refusal(waiting.requirements))
-                line.remove(waiter)
+                queue.remove(waiter)
 
     def _next_open_at(self, requirements: TargetRequirements, now: float) -> float:
         """Return when the first target is expected to accept a request; infinity if none is."""
-        fitting = self._pool.eligible(requirements)
-        return min((load.allowed_at(now) for load in fitting), default=math.inf)
+        eligible = self._pool.eligible(requirements)
+        return min((load.allowed_at(now) for load in eligible), default=math.inf)
 
     def _build_refusal(self, requirements: TargetRequirements) -> RequestRefused:
         """Return the error for a refused request.
@@ -200,10 +200,10 @@
 
     def late_share(self, service: ServiceName) -> float:
         """Return the share of recent late requests for a service that were started."""
-        return self._lines[service].late_share
+        return self._queues[service].late_share
 
     async def _wait_for(
-        self, line: WaitQueue, requirements: TargetRequirements, waiter: Waiter
+        self, queue: WaitQueue, requirements: TargetRequirements, waiter: Waiter
     ) -> InFlightRequest:
         joined_at = _now()
         found = asyncio.get_running_loop().create_future()
@@ -215,48 +215,48 @@
             if not found.cancelled() and found.done():
                 self._pool.end(found.result())
             if waiter.is_late:
-                line.note_late_outcome(started=False)
+                queue.note_late_outcome(started=False)
             raise self._build_refusal(requirements) from None
         except asyncio.CancelledError:
             if found.done() and not found.cancelled():
                 self._pool.end(found.result())
             raise
         finally:
-            line.remove(waiter)
+            queue.remove(waiter)
             self._waiting_requests.pop(id(waiter), None)
         self._wait.record(_now() - joined_at)
         if waiter.is_late:
-            line.note_late_outcome(started=True)
+            queue.note_late_outcome(started=True)
         return claim
 
     def advance(self, service: ServiceName) -> None:
         """Assign free targets to the queued requests of a service, in queue order."""
-        line = self._lines[service]
-        if not len(line):
+        queue = self._queues[service]
+        if not len(queue):
             return
         now = _now()
-        for waiter in list(line.in_order()):
+        for waiter in list(queue.in_order()):
             waiting = self._waiting_requests.get(id(waiter))
             if waiting is None or waiting.found.done():
                 continue
-            fitting = self._pool.eligible(waiting.requirements)
-            load = self._pool.choose(fitting, now, waiter.is_late)
+            eligible = self._pool.eligible(waiting.requirements)
+            load = self._pool.choose(eligible, now, waiter.is_late)
             if load is None:
                 return
-            waiting.found.set_result(self._begin(line, load, waiting.requirements, now))
-            line.remove(waiter)
+            waiting.found.set_result(self._begin(queue, load, waiting.requirements, now))
+            queue.remove(waiter)
 
     def _begin(
-        self, line: WaitQueue, load: TargetLoad, requirements: TargetRequirements, now: float
+        self, queue: WaitQueue, load: TargetLoad, requirements: TargetRequirements, now: float
     ) -> InFlightRequest:
-        line.note_start(now)
+        queue.note_start(now)
         return self._pool.begin(load, now, requirements.prefill_s)
 
     async def _run(self) -> None:
         next_check_at = 0.0
         while True:
             await asyncio.sleep(TICK_S)
-            for service in list(self._lines):
+            for service in list(self._queues):
                 self.advance(service)
             if _now() >= next_check_at:
                 next_check_at = _now() + REACH_CHECK_S
--- a/src/lacewinggw/frontend/entryupdates.py
+++ b/src/lacewinggw/frontend/entryupdates.py
@@ -16,7 +16,7 @@
 
 
 def compose_entry_update(
-    knowledge: RoutingView,
+    view: RoutingView,
     routes_position: StorePosition,
     targets_age_s: float,
     caller_address: Address,
@@ -29,32 +29,32 @@
     `routes_position` is the store position up to which it knows routes and versions. Its list of
     targets was current in the store `targets_age_s` ago. `limits` are the rate limits of targets.
     """
-    routes = knowledge.routes
+    routes = view.routes
     return messages.EntryUpdate(
         caller_address=caller_address,
         ready=ready,
         routes_version=routes.version if routes else 0,
-        routes_age_ms=_to_age_ms(knowledge.routes_age_s(now)),
-        routes_seen_age_ms=_to_age_ms(knowledge.routes_observed_age_s(now)),
-        leaving=sorted(knowledge.leaving & knowledge.targets.keys()),
+        routes_age_ms=_to_age_ms(view.routes_age_s(now)),
+        routes_seen_age_ms=_to_age_ms(view.routes_observed_age_s(now)),
+        leaving=sorted(view.leaving & view.targets.keys()),
         named=[
             messages.NamedModelVersion(
                 model, due.version, round((now - due.received_at) * MS_PER_S), due.is_guess
             )
-            for model, due in knowledge.all_required_versions
+            for model, due in view.all_required_versions
         ],
         routes_position=routes_position.revision,
         store_era=routes_position.era,
         targets_age_ms=_to_age_ms(targets_age_s),
-        targets_digest=digest_targets(knowledge),
+        targets_digest=digest_targets(view),
         limits=list(limits),
     )
 
 
-def digest_targets(knowledge: RoutingView) -> int:
+def digest_targets(view: RoutingView) -> int:
     """Return a digest that is equal for equal sets of targets and of leaving targets."""
-    leaving = knowledge.leaving
-    lines = (f"{target} {target in leaving}" for target in sorted(knowledge.targets))
+    leaving = view.leaving
+    lines = (f"{target} {target in leaving}" for target in sorted(view.targets))
     return xxhash.xxh3_64_intdigest("\n".join(lines).encode()) >> 1  # fits a signed 64-bit integer
 
 
@@ -65,14 +65,14 @@
 class PackedRoutes:
     """The routes in the form sent to other entries: packed once per version and split in parts."""
 
-    def __init__(self, knowledge: RoutingView) -> None:
-        self._knowledge = knowledge
+    def __init__(self, view: RoutingView) -> None:
+        self._view = view
         self._version = 0
         self._parts: Sequence[bytes] = ()
 
     def parts_for(self, known_version: int) -> Sequence[bytes]:
         """Return the parts of the routes; empty if `known_version` is not older than ours."""
-        routes = self._knowledge.routes
+        routes = self._view.routes
         if routes is None or routes.version <= known_version:
             return ()
         if self._version != routes.version:
--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -50,8 +50,8 @@
     def __init__(
         self,
         node: PeerNode,
-        me: LocalEntry,
-        knowledge: RoutingView,
+        local_entry: LocalEntry,
+        view: RoutingView,
         decode: DecodeRoutes,
         others: Callable[[], Iterable[PeerEntry]],
         on_fetching: Callable[[], None],
@@ -60,8 +60,8 @@
         metrics: Metrics,
     ) -> None:
         self._node = node
-        self._me = me
-        self._knowledge = knowledge
+        self._local_entry = local_entry
+        self._view = view
         self._decode = decode
         self._others = others
         self._on_fetching = on_fetching
@@ -99,9 +99,9 @@
         if update.routes_version > self._announced_version:
             self._announced_version = update.routes_version
             log.info("routes_heard_of", version=update.routes_version, entry=entry.host)
-        self._knowledge.confirm_version(update.routes_version)
+        self._view.confirm_version(update.routes_version)
         self._holders[entry.host] = (entry, update)
-        if entry.place == self._me.place:
+        if entry.place == self._local_entry.place:
             self._near_holder.set()
         self._wake.set()
 
@@ -111,11 +111,11 @@
         return not self._has_versions(each for each in update.named if not each.is_guess)
 
     def _has_versions(self, named: Iterable[messages.NamedModelVersion]) -> bool:
-        known = {(model, due.version) for model, due in self._knowledge.all_required_versions}
+        known = {(model, due.version) for model, due in self._view.all_required_versions}
         return all((each.model, each.version) in known for each in named)
 
     def _has_newer_routes(self, update: messages.EntryUpdate) -> bool:
-        routes = self._knowledge.routes
+        routes = self._view.routes
         return update.routes_version > (routes.version if routes is not None else 0)
 
     async def _run(self) -> None:
@@ -135,7 +135,7 @@
             if self._has_newer_routes(update) and not (self._is_fetching or has_failed):
                 self._is_fetching = True
                 self._on_fetching()
-            if self._has_newer_routes(update) and entry.place != self._me.place:
+            if self._has_newer_routes(update) and entry.place != self._local_entry.place:
                 await self._wait_for_near_holder()
                 entry, _ = self._choose_holder() or holder
             self._holders.pop(entry.host, None)
@@ -153,7 +153,7 @@
             self._holders.values(),
             key=lambda holder: (
                 not self._has_newer_routes(holder[1]),
-                holder[0].place != self._me.place,
+                holder[0].place != self._local_entry.place,
                 reader_sort_key(holder[0].host),
             ),
             default=None,
@@ -161,7 +161,7 @@
 
     async def _wait_for_near_holder(self) -> None:
         self._near_holder.clear()
-        wait_s = remote_fetch_delay_s(rank_in_place(self._me, self._others()))
+        wait_s = remote_fetch_delay_s(rank_in_place(self._local_entry, self._others()))
         try:
             async with asyncio.timeout(wait_s):
                 await self._near_holder.wait()
@@ -170,7 +170,7 @@
 
     async def _fetch(self, entry: PeerEntry) -> bool:
         """Fetch routes and versions from an entry; return whether it answered."""
-        routes = self._knowledge.routes
+        routes = self._view.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=True)
         sent_at = self._clock()
         link: PeerLink | None = None
@@ -178,7 +178,7 @@
             async with asyncio.timeout(PART_TIMEOUT_S):
                 link = await self._node.link(entry.address, LANE)
             packed, update = await _receive(link.open(question))
-            apply_answer(self._knowledge, update, sent_at)
+            apply_answer(self._view, update, sent_at)
             if packed:
                 self._apply_routes(packed, update, entry, sent_at)
         except (LacewingError, TimeoutError, OSError) as error:
@@ -194,7 +194,7 @@
         self, packed: bytes, update: messages.EntryUpdate, entry: PeerEntry, sent_at: float
     ) -> None:
         table = self._decode(unpack_routes(packed))
-        if not self._knowledge.update_routes(table):
+        if not self._view.update_routes(table):
             return
         log.info(
             "routes_taken",
--- a/src/lacewinggw/frontend/freshness.py
+++ b/src/lacewinggw/frontend/freshness.py
@@ -37,7 +37,7 @@
 OnAnswer = Callable[[PeerEntry, messages.EntryUpdate], None]
 
 
-def apply_answer(knowledge: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
+def apply_answer(view: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
     """Apply another entry's answer to a question that was sent at `sent_at`.
 
     An entry that has just started may overestimate the age of the versions that it finds. Such a
@@ -48,15 +48,15 @@
     """
     require_sound(update)
     for target in update.leaving:
-        knowledge.mark_leaving(TargetId(target))
-    is_starting = knowledge.routes is None
+        view.mark_leaving(TargetId(target))
+    is_starting = view.routes is None
     for named in update.named:
         due = DueVersion(ModelName(named.model), named.version)
         if not named.is_guess:
-            knowledge.require_version(due, sent_at - named.age_ms / MS_PER_S)
+            view.require_version(due, sent_at - named.age_ms / MS_PER_S)
         elif is_starting:
-            knowledge.require_version(due, sent_at, old=True)
-    knowledge.confirm_version(
+            view.require_version(due, sent_at, old=True)
+    view.confirm_version(
         update.routes_version,
         sent_at - update.routes_age_ms / MS_PER_S,
         sent_at - update.routes_seen_age_ms / MS_PER_S,
@@ -69,8 +69,8 @@
     def __init__(
         self,
         node: PeerNode,
-        me: LocalEntry,
-        knowledge: RoutingView,
+        local_entry: LocalEntry,
+        view: RoutingView,
         leaving_targets: LeavingTargets,
         others: Callable[[], Iterable[PeerEntry]],
         on_answer: OnAnswer,
@@ -78,8 +78,8 @@
         metrics: Metrics,
     ) -> None:
         self._node = node
-        self._me = me
-        self._knowledge = knowledge
+        self._local_entry = local_entry
+        self._view = view
         self._leaving_targets = leaving_targets
         self._others = others
         self._on_answer = on_answer
@@ -101,23 +101,23 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._is_up_to_date:
                 continue
-            asked = choose_peers_to_query(self._me, self._others())
+            asked = choose_peers_to_query(self._local_entry, self._others())
             await asyncio.gather(*(self._ask(entry) for entry in asked))
 
     @property
     def _is_up_to_date(self) -> bool:
         """Whether this entry reads the store for its place and the store answers."""
-        fresh = self._knowledge.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
-        return fresh and is_route_reader(self._me, self._others())
+        fresh = self._view.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
+        return fresh and is_route_reader(self._local_entry, self._others())
 
     async def _ask(self, entry: PeerEntry) -> None:
-        routes = self._knowledge.routes
+        routes = self._view.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=False)
         sent_at = self._clock()
         try:
             link = await asyncio.wait_for(self._node.link(entry.address), ANSWER_TIMEOUT_S)
             update = await link.call(question, ANSWER_TIMEOUT_S)
-            apply_answer(self._knowledge, update, sent_at)
+            apply_answer(self._view, update, sent_at)
         except (LacewingError, TimeoutError, OSError) as error:
             self._failures.add()
             log.debug("entry_did_not_vouch", entry=entry.host, error=error)
--- a/src/lacewinggw/frontend/leavingtargets.py
+++ b/src/lacewinggw/frontend/leavingtargets.py
@@ -38,12 +38,12 @@
 
     def __init__(
         self,
-        knowledge: RoutingView,
+        view: RoutingView,
         on_leaving: Callable[[], None],
         on_urgent: Callable[[], None],
         metrics: Metrics,
     ) -> None:
-        self._knowledge = knowledge
+        self._view = view
         self._on_leaving = on_leaving
         self._on_urgent = on_urgent
         self._logged: frozenset[TargetId] = frozenset()
@@ -53,14 +53,14 @@
 
     def mark_leaving(self, target: TargetId, source: LeavingSource) -> None:
         """Record that a target accepts no new requests."""
-        if target in self._knowledge.leaving:
+        if target in self._view.leaving:
             return
-        self._knowledge.mark_leaving(target)
+        self._view.mark_leaving(target)
         self.publish_new(source)
 
     def publish_new(self, source: LeavingSource) -> None:
         """Log and report the targets that have newly become leaving, as reported by `source`."""
-        leaving = frozenset(self._knowledge.leaving)
+        leaving = frozenset(self._view.leaving)
         new = leaving - self._logged
         self._logged = leaving
         for target in sorted(new):
--- a/src/lacewinggw/frontend/neighbours.py
+++ b/src/lacewinggw/frontend/neighbours.py
@@ -55,7 +55,7 @@
     def __init__(
         self,
         node: PeerNode,
-        me: HostId,
+        own_host: HostId,
         place: Place,
         compose: Callable[[], messages.EntryUpdate],
         on_update: Callable[[PeerEntry, messages.EntryUpdate], None],
@@ -64,7 +64,7 @@
         rng: random.Random,
     ) -> None:
         self._node = node
-        self._me = me
+        self._own_host = own_host
         self._place = place
         self._compose = compose
         self._on_update = on_update
@@ -74,7 +74,7 @@
         self._subscribers: set[PeerLink] = set()
         self._has_members = False
         self._reverse_watches: set[WatchedAgent] = set()
-        self._watches = AgentWatches(node, me, lambda host: None, rng)
+        self._watches = AgentWatches(node, own_host, lambda host: None, rng)
         self._changed = asyncio.Event()
         self._loop = Background("entry news", self._run)
 
@@ -93,7 +93,7 @@
         per_place: dict[Place, int] = {}
         wanted: set[WatchedAgent] = set()
         for member in sorted(members, key=lambda each: reader_sort_key(each.host)):
-            if member.role is not MemberRole.ENTRY or member.host == self._me:
+            if member.role is not MemberRole.ENTRY or member.host == self._own_host:
                 continue
             count = per_place.get(member.place, 0)
             if member.place != self._place and count >= READERS_PER_PLACE:
--- a/src/lacewinggw/frontend/process.py
+++ b/src/lacewinggw/frontend/process.py
@@ -103,7 +103,7 @@
         self._regions = dict(_split_regions(fleet.regions))
         self._host = HostId(process.host)
         self._place = Place(process.place)
-        self._me = LocalEntry(self._host, self._place)
+        self._local_entry = LocalEntry(self._host, self._place)
         self._is_leaving = False
         self._packed_routes = PackedRoutes(self.knowledge)
         self.incarnation = new_incarnation(rng)
@@ -121,7 +121,7 @@
         self._fetcher = self._make_fetcher()
         self._freshness = self._make_freshness_checker()
         self._read_policy = StoreReadPolicy(
-            self._me,
+            self._local_entry,
             self.knowledge,
             self._neighbours.active_entries,
             self._listed_entries,
@@ -188,7 +188,7 @@
     def _make_fetcher(self) -> RoutesFetcher:
         return RoutesFetcher(
             self._node,
-            self._me,
+            self._local_entry,
             self.knowledge,
             self._adapter.decode_routes,
             self._neighbours.active_entries,
@@ -201,7 +201,7 @@
     def _make_freshness_checker(self) -> FreshnessChecker:
         return FreshnessChecker(
             self._node,
-            self._me,
+            self._local_entry,
             self.knowledge,
             self._leaving_targets,
             self._neighbours.active_entries,
@@ -213,7 +213,7 @@
     def _make_rates(self) -> TargetRates:
         return TargetRates(
             self.pool,
-            self._me,
+            self._local_entry,
             self._listed_entries,
             lambda: self._read_policy.is_reader,
             self._neighbours.schedule_update,
--- a/src/lacewinggw/frontend/readpolicy.py
+++ b/src/lacewinggw/frontend/readpolicy.py
@@ -28,15 +28,15 @@
 
     def __init__(
         self,
-        me: LocalEntry,
-        knowledge: RoutingView,
+        local_entry: LocalEntry,
+        view: RoutingView,
         active_entries: Callable[[], Sequence[PeerEntry]],
         listed_entries: Callable[[], Sequence[PeerEntry] | None],
         is_fetching: Callable[[], bool],
         clock: Clock,
     ) -> None:
-        self._me = me
-        self._knowledge = knowledge
+        self._local_entry = local_entry
+        self._view = view
         self._active_entries = active_entries
         self._listed_entries = listed_entries
         self._is_fetching = is_fetching
@@ -46,7 +46,7 @@
     @property
     def is_reader(self) -> bool:
         """Whether this entry is a designated reader of its place."""
-        return is_route_reader(self._me, self._active_entries())
+        return is_route_reader(self._local_entry, self._active_entries())
 
     def note_start(self) -> None:
         """Record that the process starts now."""
@@ -54,23 +54,23 @@
 
     def is_frequent_reader(self) -> bool:
         """Return whether this entry reads for its place, or no peer confirms its routes."""
-        rank = rank_in_place(self._me, self._active_entries())
+        rank = rank_in_place(self._local_entry, self._active_entries())
         if rank < READERS_PER_PLACE:
             return True
-        return self._knowledge.routes_observed_age_s(self._clock()) >= fallback_age_s(rank)
+        return self._view.routes_observed_age_s(self._clock()) >= fallback_age_s(rank)
 
     def should_read_routes(self) -> bool:
         """Return whether this entry is to read the routes now, because no entry sends them."""
         if self._is_fetching():
             return False
-        if self._knowledge.routes is not None:
+        if self._view.routes is not None:
             return self.is_frequent_reader()
         listed = self._listed_entries()
-        rank = None if listed is None else rank_in_place(self._me, listed)
+        rank = None if listed is None else rank_in_place(self._local_entry, listed)
         return self._clock() - self._started_at >= start_delay_s(rank)
 
     def is_list_confirmed(self) -> bool:
         """Return whether another entry confirms the list of targets, so it need not be read now."""
         if self.is_frequent_reader():
             return False
-        return is_target_list_confirmed(digest_targets(self._knowledge), self._active_entries())
+        return is_target_list_confirmed(digest_targets(self._view), self._active_entries())
--- a/src/lacewinggw/frontend/relay.py
+++ b/src/lacewinggw/frontend/relay.py
@@ -100,18 +100,18 @@
 
     async def _serve(self, call: Call, caller: CallerConnection) -> None:
         began = _now()
-        state: RequestProgress | None = None
+        progress: RequestProgress | None = None
         call_id = ""
         try:
             deps = self._deps
             facts = deps.codec.read_call(call.headers)
             call_id = facts.call_id
-            state = RequestProgress(admit(call, facts, deps.knowledge, deps.clock(), deps.rng))
-            async with asyncio.timeout_at(state.admitted.deadline):
-                await self._run(state, caller)
+            progress = RequestProgress(admit(call, facts, deps.knowledge, deps.clock(), deps.rng))
+            async with asyncio.timeout_at(progress.admitted.deadline):
+                await self._run(progress, caller)
         except TimeoutError:
-            assert state is not None
-            await self._end_timed_out(state, caller)
+            assert progress is not None
+            await self._end_timed_out(progress, caller)
         except LacewingError as error:
             await self._refuse(call, call_id, error, caller)
         except (CallerDisconnected, OSError):
@@ -121,39 +121,39 @@
             await self._refuse(call, call_id, LacewingError("internal error"), caller)
         else:
             self._answered.add()
-            self._log_answered(state)
+            self._log_answered(progress)
         self._latency.record(_now() - began)
 
-    def _log_answered(self, state: RequestProgress) -> None:
+    def _log_answered(self, progress: RequestProgress) -> None:
         now = _now()
         knowledge = self._deps.knowledge
         log.info(
             "request_answered",
-            request_id=state.admitted.facts.call_id,
-            route=state.admitted.route.name,
-            target=state.target,
-            weights=state.weights_version,
-            took_ms=_to_ms(now - state.admitted.call.arrived_at),
-            waited_ms=_to_ms(state.waited_s),
-            late=state.is_late,
-            left_ms=_to_ms(state.admitted.facts.time_left_s or math.inf),
-            first_ms=None if state.first_part_s is None else _to_ms(state.first_part_s),
-            ahead=state.requests_ahead,
-            offers=state.offers,
-            runs=state.runs,
-            last_event=state.last_event,
+            request_id=progress.admitted.facts.call_id,
+            route=progress.admitted.route.name,
+            target=progress.target,
+            weights=progress.weights_version,
+            took_ms=_to_ms(now - progress.admitted.call.arrived_at),
+            waited_ms=_to_ms(progress.waited_s),
+            late=progress.is_late,
+            left_ms=_to_ms(progress.admitted.facts.time_left_s or math.inf),
+            first_ms=None if progress.first_part_s is None else _to_ms(progress.first_part_s),
+            ahead=progress.requests_ahead,
+            offers=progress.offers,
+            runs=progress.runs,
+            last_event=progress.last_event,
             routes=self._routes_version,
             routes_age_ms=_to_ms(knowledge.routes_age_s(self._deps.clock())),
         )
 
-    async def _end_timed_out(self, state: RequestProgress, caller: CallerConnection) -> None:
+    async def _end_timed_out(self, progress: RequestProgress, caller: CallerConnection) -> None:
         """End a request whose deadline has passed."""
-        call, call_id = state.admitted.call, state.admitted.facts.call_id
+        call, call_id = progress.admitted.call, progress.admitted.facts.call_id
         if caller.has_started_answer:
-            log.info("stream_out_of_time", request_id=call_id, last_event=state.last_event)
+            log.info("stream_out_of_time", request_id=call_id, last_event=progress.last_event)
             caller.close()
             raise CallerDisconnected
-        if state.runs:
+        if progress.runs:
             reason = "the target did not answer in time"
             error: LacewingError = DeadlinePassed(reason, remedy=REPEAT_REMEDY)
         else:
@@ -185,111 +185,111 @@
 
     # ---- offers ---------------------------------------------------------------------------
 
-    async def _run(self, state: RequestProgress, caller: CallerConnection) -> None:
+    async def _run(self, progress: RequestProgress, caller: CallerConnection) -> None:
         while True:
             try:
-                claim = await self._claim(state)
+                claim = await self._claim(progress)
             except RequestRefused:
-                if state.runs == 0:
+                if progress.runs == 0:
                     raise
-                return await self._give_up(state, caller)
+                return await self._give_up(progress, caller)
             try:
-                if await self._offer(state, claim, caller):
+                if await self._offer(progress, claim, caller):
                     return None
             finally:
                 self._deps.queue.release(claim)
             # The crash check of the last offer has finished, so the request may be quarantined now.
-            is_quarantined = self._deps.crashes.is_quarantined(state.admitted)
-            if is_quarantined or not self._deps.placer.take_retry(state):
-                return await self._give_up(state, caller)
+            is_quarantined = self._deps.crashes.is_quarantined(progress.admitted)
+            if is_quarantined or not self._deps.placer.take_retry(progress):
+                return await self._give_up(progress, caller)
 
-    async def _claim(self, state: RequestProgress) -> InFlightRequest:
+    async def _claim(self, progress: RequestProgress) -> InFlightRequest:
         """Return a claim on a target; raise `RequestQuarantined` if the request is quarantined."""
         deps = self._deps
-        deps.crashes.require_not_quarantined(state.admitted)
-        claim = await deps.placer.claim(state)
+        deps.crashes.require_not_quarantined(progress.admitted)
+        claim = await deps.placer.claim(progress)
         try:
             # Other entries may have quarantined the request while it waited.
-            deps.crashes.require_not_quarantined(state.admitted)
+            deps.crashes.require_not_quarantined(progress.admitted)
         except RequestQuarantined:
             deps.queue.release(claim)
             raise
         return claim
 
-    async def _give_up(self, state: RequestProgress, caller: CallerConnection) -> None:
+    async def _give_up(self, progress: RequestProgress, caller: CallerConnection) -> None:
         """Report the failure to the caller, with the target's own error answer if there is one."""
-        if state.failure is not None and not caller.has_started_answer:
-            failure = state.failure
+        if progress.failure is not None and not caller.has_started_answer:
+            failure = progress.failure
             headers = _headers_to_caller(failure.headers)
             return await caller.answer(failure.status, headers, failure.body)
-        if state.runs:
+        if progress.runs:
             raise TargetFailed("the target failed the request", remedy=REPEAT_REMEDY)
-        self._deps.crashes.require_not_quarantined(state.admitted)
-        if state.can_retry:
+        self._deps.crashes.require_not_quarantined(progress.admitted)
+        if progress.can_retry:
             raise RetryBudgetSpent("the retry budget is spent", retry_after_ms=500)
         raise TargetRefused("no target accepted the request", retry_after_ms=RETRY_AFTER_MS)
 
     async def _offer(
-        self, state: RequestProgress, claim: InFlightRequest, caller: CallerConnection
+        self, progress: RequestProgress, claim: InFlightRequest, caller: CallerConnection
     ) -> bool:
         """Offer the request to a target; return whether the caller got its complete answer."""
         load = claim.load
-        state.offers += 1
-        state.offered_at = _now()
-        state.tried_targets.add(load.entry.target)
+        progress.offers += 1
+        progress.offered_at = _now()
+        progress.tried_targets.add(load.entry.target)
         placer = self._deps.placer
-        options, timeouts = placer.offer_options(state), placer.offer_timeouts(state, load)
-        state.runs += 1
-        outcome = await self._deps.offers.send(state.admitted, load, options, timeouts)
+        options, timeouts = placer.offer_options(progress), placer.offer_timeouts(progress, load)
+        progress.runs += 1
+        outcome = await self._deps.offers.send(progress.admitted, load, options, timeouts)
         self._deps.pool.note_prompt_read(claim)
         match outcome:
             case NotExecuted() as proof:
-                state.runs -= 1
-                self._note_not_executed(state, load, proof)
+                progress.runs -= 1
+                self._note_not_executed(progress, load, proof)
                 return False
             case OutcomeUnknown(reason, has_timed_out):
                 if has_timed_out:
                     self._deps.pool.note_timeout(load, _now())
-                self._note_failed(state, load, reason)
+                self._note_failed(progress, load, reason)
                 if not has_timed_out:
-                    await self._check_for_crash(state, load)
+                    await self._check_for_crash(progress, load)
                 return False
             case Answer() as answer:
-                self._deps.pool.note_accepted(load, state.offered_at)
+                self._deps.pool.note_accepted(load, progress.offered_at)
                 try:
-                    is_served = await self._forward_answer(state, load, answer, caller)
+                    is_served = await self._forward_answer(progress, load, answer, caller)
                 except AnswerIncomplete as error:
-                    self._note_failed(state, load, error.reason)
-                    await self._check_for_crash(state, load)
+                    self._note_failed(progress, load, error.reason)
+                    await self._check_for_crash(progress, load)
                     return False
                 else:
                     if is_served:
-                        self._deps.crashes.note_served(state.admitted)
+                        self._deps.crashes.note_served(progress.admitted)
                     return is_served
                 finally:
                     await answer.close()
 
-    async def _check_for_crash(self, state: RequestProgress, load: TargetLoad) -> None:
+    async def _check_for_crash(self, progress: RequestProgress, load: TargetLoad) -> None:
         """Check whether the connection broke because the target crashed."""
-        began_at = self._deps.clock() - (_now() - state.offered_at)
-        await self._deps.crashes.note_connection_lost(state.admitted, load.entry, began_at)
+        began_at = self._deps.clock() - (_now() - progress.offered_at)
+        await self._deps.crashes.note_connection_lost(progress.admitted, load.entry, began_at)
 
     def _note_not_executed(
-        self, state: RequestProgress, load: TargetLoad, proof: NotExecuted
+        self, progress: RequestProgress, load: TargetLoad, proof: NotExecuted
     ) -> None:
         now = _now()
-        state.has_reached_target = proof.has_reached_target
+        progress.has_reached_target = proof.has_reached_target
         if proof.is_replaced:
             self._note_replaced(load)
         if proof.is_full:
-            self._deps.pool.note_full(load, state.offered_at, now)
+            self._deps.pool.note_full(load, progress.offered_at, now)
             self._deps.metrics.retry(RetryReason.TARGET_OVERLOADED)
         elif proof.is_closed:
             self._deps.metrics.retry(RetryReason.WITHDRAWN)
         else:
             self._deps.pool.note_failure(load, now)
             self._deps.metrics.retry(RetryReason.TARGET_UNREACHABLE)
-        self._log_offer(state, load, "not-run", proof.reason)
+        self._log_offer(progress, load, "not-run", proof.reason)
 
     def _note_replaced(self, load: TargetLoad) -> None:
         """Mark a target incarnation as leaving because another one answers at its address.
@@ -299,43 +299,43 @@
         log.info("target_gone", target=load.entry.target, address=load.entry.address)
         self._deps.leaving_targets.mark_leaving(load.entry.target, LeavingSource.ADDRESS)
 
-    def _note_failed(self, state: RequestProgress, load: TargetLoad, reason: str) -> None:
+    def _note_failed(self, progress: RequestProgress, load: TargetLoad, reason: str) -> None:
         now = _now()
-        state.has_reached_target = True
+        progress.has_reached_target = True
         if load.loading_until <= now:
             self._deps.pool.note_failure(load, now)
         self._deps.metrics.retry(RetryReason.TARGET_FAILED)
-        self._log_offer(state, load, "failed", reason)
+        self._log_offer(progress, load, "failed", reason)
 
     def _log_offer(
-        self, state: RequestProgress, load: TargetLoad, outcome: str, reason: str
+        self, progress: RequestProgress, load: TargetLoad, outcome: str, reason: str
     ) -> None:
         self._deps.metrics.count("offers", outcome=outcome)
         log.info(
             "offer_ended",
-            request_id=state.admitted.facts.call_id,
+            request_id=progress.admitted.facts.call_id,
             # Each attempt of the caller has its own id; the digest identifies the request.
-            digest=state.admitted.digest,
+            digest=progress.admitted.digest,
             target=load.entry.target,
             outcome=outcome,
             reason=reason,
-            offers=state.offers,
-            runs=state.runs,
+            offers=progress.offers,
+            runs=progress.runs,
         )
 
     # ---- answers --------------------------------------------------------------------------
 
     async def _forward_answer(
-        self, state: RequestProgress, load: TargetLoad, answer: Answer, caller: CallerConnection
+        self, progress: RequestProgress, load: TargetLoad, answer: Answer, caller: CallerConnection
     ) -> bool:
-        if state.admitted.route.streams and answer.status == OK:
-            await self._forward_stream(state, load, answer, caller)
+        if progress.admitted.route.streams and answer.status == OK:
+            await self._forward_stream(progress, load, answer, caller)
             self._deps.pool.note_success(load)
             return True
         body = await read_whole(answer)
         if not answer.is_success:
-            state.failure = FailedAnswer(answer.status, answer.headers, body)
-            self._note_failed(state, load, f"the target answered {answer.status}")
+            progress.failure = FailedAnswer(answer.status, answer.headers, body)
+            self._note_failed(progress, load, f"the target answered {answer.status}")
             return False
         if not answer.facts.sealed:
             raise AnswerIncomplete("the answer has no response seal")
@@ -344,38 +344,38 @@
         return True
 
     async def _forward_stream(
-        self, state: RequestProgress, load: TargetLoad, answer: Answer, caller: CallerConnection
+        self, progress: RequestProgress, load: TargetLoad, answer: Answer, caller: CallerConnection
     ) -> None:
         """Forward events as they arrive, without those that the caller already received."""
         async for events in read_events(answer):
             load.note_data(_now())
-            data = b"".join(event.data for event in events if _is_next(state, event.number))
+            data = b"".join(event.data for event in events if _is_next(progress, event.number))
             if not data:
                 continue
             if caller.has_started_answer:
                 await caller.send(data)
             else:
-                state.weights_version = answer.facts.version
-                state.first_part_s = _now() - state.offered_at
-                self._first_part.record(state.first_part_s)
+                progress.weights_version = answer.facts.version
+                progress.first_part_s = _now() - progress.offered_at
+                self._first_part.record(progress.first_part_s)
                 await caller.begin(answer.status, _headers_to_caller(answer.headers), data)
         if not caller.has_started_answer:
             await caller.begin(answer.status, _headers_to_caller(answer.headers))
         await caller.end()
 
 
-def _is_next(state: RequestProgress, number: int | None) -> bool:
+def _is_next(progress: RequestProgress, number: int | None) -> bool:
     """Return whether the caller still needs an event, and record it as the last one sent.
 
     Raise `AnswerIncomplete` if an event is missing before it.
     """
     if number is None:
         return True
-    if state.last_event is not None and number <= state.last_event:
+    if progress.last_event is not None and number <= progress.last_event:
         return False
-    if state.last_event is not None and number != state.last_event + 1:
-        raise AnswerIncomplete(f"event {number} came after {state.last_event}")
-    state.last_event = number
+    if progress.last_event is not None and number != progress.last_event + 1:
+        raise AnswerIncomplete(f"event {number} came after {progress.last_event}")
+    progress.last_event = number
     return True
 
 
--- a/src/lacewinggw/frontend/requestplacer.py
+++ b/src/lacewinggw/frontend/requestplacer.py
@@ -51,14 +51,14 @@
 
     def __init__(
         self,
-        knowledge: RoutingView,
+        view: RoutingView,
         queue: DispatchQueue,
         clock: Clock,
         retries: Callable[[], RetryLimits],
         count_entries: Callable[[], int],
         is_suspect: Callable[[AdmittedRequest], bool] = lambda admitted: False,
     ) -> None:
-        self._knowledge = knowledge
+        self._view = view
         self._queue = queue
         self._clock = clock
         self._retries = retries
@@ -67,44 +67,44 @@
         self._budgets: dict[ServiceName, RetryBudget] = {}
         self._times = CallerTimeouts()
 
-    async def claim(self, state: RequestProgress) -> InFlightRequest:
+    async def claim(self, progress: RequestProgress) -> InFlightRequest:
         """Return a claim on a target that accepts the request, waiting in the queue for one.
 
         Raise `DeadlineTooNear` if the caller is about to give up.
         """
-        admitted = state.admitted
-        requirements = self._requirements(state)
+        admitted = progress.admitted
+        requirements = self._requirements(progress)
         now = _now()
         left_s = admitted.deadline - now
-        if state.runs:
+        if progress.runs:
             # The request has already run in part, so any target with a free slot may continue it
             # as long as the caller waits.
             until = min(admitted.deadline, now + MAX_RESUME_WAIT_S)
-            if state.last_event is None:
+            if progress.last_event is None:
                 until = min(until, first_event_deadline(admitted) - LAST_OFFER_MARGIN_S)
             if until <= now:
                 raise DeadlineTooNear("the caller is about to give up")
             claim = await self._queue.claim(requirements, RETRY_PRIORITY, False, until)
         else:
             wait = self._patience_for(admitted, left_s)
-            state.is_late = wait.is_late
+            progress.is_late = wait.is_late
             until = now + wait.wait_s
             claim = await self._queue.claim(requirements, admitted.priority, wait.is_late, until)
         load = claim.load
-        state.target, state.waited_s = load.entry.target, state.waited_s + _now() - now
-        state.requests_ahead = round(load.ahead(now) - 1.0, 1)
-        if state.has_reached_target:
+        progress.target, progress.waited_s = load.entry.target, progress.waited_s + _now() - now
+        progress.requests_ahead = round(load.ahead(now) - 1.0, 1)
+        if progress.has_reached_target:
             self._budget(admitted.service).note_call(_now())
         return claim
 
-    def take_retry(self, state: RequestProgress) -> bool:
+    def take_retry(self, progress: RequestProgress) -> bool:
         """Return whether the request may be offered again, and charge the retry budget if so.
 
         An offer that reached no target caused no load, so replacing it is not counted as a retry.
         """
-        if not state.has_reached_target:
-            return state.can_retry
-        return state.can_retry and self._budget(state.admitted.service).take(_now())
+        if not progress.has_reached_target:
+            return progress.can_retry
+        return progress.can_retry and self._budget(progress.admitted.service).take(_now())
 
     def _patience_for(self, admitted: AdmittedRequest, left_s: float) -> WaitBudget:
         facts, route = admitted.facts, admitted.route
@@ -115,35 +115,35 @@
         late_share = self._queue.late_share(admitted.service)
         return wait_budget(route, engine, facts.prompt_tokens, elapsed_s, left_s, late_share)
 
-    def _requirements(self, state: RequestProgress) -> TargetRequirements:
-        admitted = state.admitted
+    def _requirements(self, progress: RequestProgress) -> TargetRequirements:
+        admitted = progress.admitted
         model = admitted.facts.model
         service = self._service(admitted.service)
         if service is None or service.engine is None or model is None:
-            return TargetRequirements(admitted.service, excluded=frozenset(state.tried_targets))
-        least = self._least_version(state)
-        reading_s = prefill_time(service.engine, admitted.facts.prompt_tokens)
+            return TargetRequirements(admitted.service, excluded=frozenset(progress.tried_targets))
+        min_version = self._min_version(progress)
+        prefill_s = prefill_time(service.engine, admitted.facts.prompt_tokens)
         suspect = admitted.digest if self._is_suspect(admitted) else None
         return TargetRequirements(
             admitted.service,
             model,
-            least,
-            state.weights_version,
-            frozenset(state.tried_targets),
-            reading_s,
+            min_version,
+            progress.weights_version,
+            frozenset(progress.tried_targets),
+            prefill_s,
             suspect,
         )
 
     def _service(self, name: ServiceName) -> Service | None:
-        table = self._knowledge.routes
+        table = self._view.routes
         return table.services.get(name) if table else None
 
-    def _least_version(self, state: RequestProgress) -> int:
+    def _min_version(self, progress: RequestProgress) -> int:
         """Return the oldest version of the model on which a request may still start."""
-        model = state.admitted.facts.model
+        model = progress.admitted.facts.model
         if model is None:
             return 0
-        return self._knowledge.min_version(model, self._clock())
+        return self._view.min_version(model, self._clock())
 
     def _budget(self, service: ServiceName) -> RetryBudget:
         limits = self._retries()
@@ -154,31 +154,35 @@
         budget.extra = limits.extra / entries if entries else 0.0
         return budget
 
-    def offer_options(self, state: RequestProgress) -> OfferOptions:
+    def offer_options(self, progress: RequestProgress) -> OfferOptions:
         """Return what the next offer of a request adds to the caller's own headers."""
-        facts = state.admitted.facts
-        resume_after = state.last_event if state.last_event is not None else facts.last_event
-        least = self._least_version(state)
-        version = state.weights_version if state.weights_version is not None else least or None
-        usual = min(LEAST_URGENT, URGENCY_BASE + state.admitted.priority)
-        urgency = MOST_URGENT if state.runs else usual
+        facts = progress.admitted.facts
+        resume_after = progress.last_event if progress.last_event is not None else facts.last_event
+        min_version = self._min_version(progress)
+        version = (
+            progress.weights_version
+            if progress.weights_version is not None
+            else min_version or None
+        )
+        usual = min(LEAST_URGENT, URGENCY_BASE + progress.admitted.priority)
+        urgency = MOST_URGENT if progress.runs else usual
         return OfferOptions(version, resume_after, urgency)
 
-    def offer_timeouts(self, state: RequestProgress, load: TargetLoad) -> OfferTimeouts:
+    def offer_timeouts(self, progress: RequestProgress, load: TargetLoad) -> OfferTimeouts:
         """Return the timeouts of an offer to a target.
 
         If no other target may be tried, the target may be idle until the deadline. The answer must
         start before the weights of the target become too old to start on.
         """
-        rest_s = max(MIN_TIMEOUT_S, state.admitted.deadline - _now())
-        idle_s = rest_s
-        route = state.admitted.route
-        if route.retry_policy is not RetryPolicy.NEVER and state.runs < route.attempts:
-            idle_s = min(rest_s, max(MIN_IDLE_TIMEOUT_S, IDLE_OBJECTIVES * route.objective_s))
+        remaining_s = max(MIN_TIMEOUT_S, progress.admitted.deadline - _now())
+        idle_s = remaining_s
+        route = progress.admitted.route
+        if route.retry_policy is not RetryPolicy.NEVER and progress.runs < route.attempts:
+            idle_s = min(remaining_s, max(MIN_IDLE_TIMEOUT_S, IDLE_OBJECTIVES * route.objective_s))
         head_s = idle_s
-        model = state.admitted.facts.model
+        model = progress.admitted.facts.model
         if model is not None:
-            left_s = self._knowledge.start_deadline(load.entry.target, model) - self._clock()
+            left_s = self._view.start_deadline(load.entry.target, model) - self._clock()
             head_s = max(MIN_TIMEOUT_S, min(idle_s, left_s))
         return OfferTimeouts(head_s, idle_s)
 
--- a/src/lacewinggw/frontend/storefollower.py
+++ b/src/lacewinggw/frontend/storefollower.py
@@ -69,7 +69,7 @@
     def __init__(
         self,
         feed: FleetFeed,
-        knowledge: RoutingView,
+        view: RoutingView,
         pool: TargetPool,
         clock: Clock,
         metrics: Metrics,
@@ -86,7 +86,7 @@
     ) -> None:
         self.members: dict[HostId, Member] = {}
         self._feed = feed
-        self._knowledge = knowledge
+        self._view = view
         self._pool = pool
         self._clock = clock
         self._metrics = metrics
@@ -95,7 +95,7 @@
         self._access = StoreAccess()
         self.era = StoreEra(metrics)
         self.era.subscribe(self._store_clock.reset)
-        self.era.subscribe(lambda: knowledge.record_outage_end(clock()))
+        self.era.subscribe(lambda: view.record_outage_end(clock()))
         self._is_frequent_reader = is_frequent_reader
         self._on_change = on_change
         self._on_members = on_members
@@ -172,8 +172,8 @@
 
     def note_weights(self, target: TargetId, weights: Mapping[ModelName, int]) -> None:
         """Record the versions of weights that a target reported."""
-        if self._knowledge.update_weights(target, weights):
-            self._pool.sync(self._knowledge.targets)
+        if self._view.update_weights(target, weights):
+            self._pool.sync(self._view.targets)
 
     def _follow(
         self,
@@ -196,43 +196,43 @@
             self._access,
             is_needed,
             is_confirmed,
-            on_regained=self._knowledge.record_outage_end,
+            on_regained=self._view.record_outage_end,
         )
 
     def _targets_poll(self) -> PollTimes:
         return READER_TARGETS_POLL if self._is_frequent_reader() else ASKER_TARGETS_POLL
 
-    def _apply_configuration(self, update: FeedUpdate, proof: AnswerTimes) -> None:
+    def _apply_configuration(self, update: FeedUpdate, times: AnswerTimes) -> None:
         now = self._clock()
         for change in update.changes:
             match change:
-                case ItemChanged(RouteTable() as table) if self._knowledge.update_routes(table):
+                case ItemChanged(RouteTable() as table) if self._view.update_routes(table):
                     log.info(
                         "routes_taken",
                         version=table.version,
                         source="store",
                         routes=len(table.routes),
                         bytes=len(table.source),
-                        age_ms=round((now - proof.sent_at) * MS_PER_S),
+                        age_ms=round((now - times.sent_at) * MS_PER_S),
                     )
-                case ItemChanged(DueVersion() as due) if self._knowledge.require_version(
+                case ItemChanged(DueVersion() as due) if self._view.require_version(
                     due, now, update.whole
                 ):
                     log.info("version_due", model=due.model, version=due.version)
-        self._knowledge.confirm_routes(proof.sent_at, proof.composed_at)
+        self._view.confirm_routes(times.sent_at, times.composed_at)
         if update.changes:
             self._on_change()
         if update.changes and self._is_frequent_reader():
             self._on_urgent()
 
-    def _apply_targets(self, update: FeedUpdate, proof: AnswerTimes) -> None:
-        apply_target_list(self._knowledge, update, self._clock())
-        self._targets_read_at = proof.sent_at
+    def _apply_targets(self, update: FeedUpdate, times: AnswerTimes) -> None:
+        apply_target_list(self._view, update, self._clock())
+        self._targets_read_at = times.sent_at
         self._has_targets = self._has_targets or update.whole
         self._sync()
 
     def _sync(self) -> None:
-        self._pool.sync(self._knowledge.targets)
+        self._pool.sync(self._view.targets)
         self._on_change()
         self._leaving_targets.publish_new(LeavingSource.LIST)
 
@@ -259,9 +259,9 @@
     async def _expire(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_CHECK_S)
-            known = len(self._knowledge.targets)
-            self._knowledge.expire(self._clock())
-            if len(self._knowledge.targets) != known:
+            known = len(self._view.targets)
+            self._view.expire(self._clock())
+            if len(self._view.targets) != known:
                 self._sync()
 
 
--- a/src/lacewinggw/frontend/targetrates.py
+++ b/src/lacewinggw/frontend/targetrates.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         pool: TargetPool,
-        me: LocalEntry,
+        local_entry: LocalEntry,
         listed_entries: Callable[[], Sequence[PeerEntry] | None],
         is_forwarder: Callable[[], bool],
         on_change: Callable[[], None],
@@ -45,7 +45,7 @@
         metrics: Metrics,
     ) -> None:
         self._pool = pool
-        self._me = me
+        self._local_entry = local_entry
         self._listed_entries = listed_entries
         self._is_forwarder = is_forwarder
         self._on_change = on_change
@@ -71,7 +71,7 @@
             load = self._pool.loads.get(TargetId(limit.target))
             if load is None:
                 continue
-            is_near = entry.place == self._me.place and not limit.passed_on
+            is_near = entry.place == self._local_entry.place and not limit.passed_on
             per_s = limit.per_s if limit.limited else None
             seen_at = self._clock() - limit.age_ms / MS_PER_S
             before = load.rate.per_s
@@ -139,7 +139,7 @@
             return
         now = asyncio.get_running_loop().time()
         share = entry_share(
-            self._me.host, entry.target, entry.place, per_s, self._listed_entries() or ()
+            self._local_entry.host, entry.target, entry.place, per_s, self._listed_entries() or ()
         )
         if load.allowance is None:
             load.allowance = Allowance(share, now)
