--- a/src/lacewinggw/frontend/crashes.py
+++ b/src/lacewinggw/frontend/crashes.py
@@ -1,7 +1,7 @@
-"""Requests that end targets: seen by this entry, told to the others, kept away from targets.
+"""Detect requests that crash targets, report them to other entries, and quarantine them.
 
-Connections that end too soon do not prove that their target ended. An address that refuses
-connections right after that does: no process listens there any more.
+A connection that breaks does not prove that its target crashed. If the address refuses connections
+right afterwards, it did: no process listens there any more.
 """
 
 import asyncio
@@ -27,29 +27,29 @@
 from lacewinggw.wire.http import HttpClient
 
 MS_PER_S = 1000.0
-PROBE_TIMEOUT_S = 0.25  # connecting takes some ms; a host that is cut off does not answer at all
-# What waits for the proof is about to be tried again, or to fail: a refusal takes some ms.
+PROBE_TIMEOUT_S = 0.25  # connecting takes a few ms; an unreachable host does not answer at all
+# How long a broken request waits for the probe before it is retried or fails. A refused connection
+# takes a few ms.
 PROBE_WAIT_S = 0.05
-# Crashes that come together are told together: when a host fails, or many targets at once, each
-# entry has some to tell and passes on those of others.
+# Crashes within this time are reported in one update. When a host or many targets fail at once,
+# each entry has several crashes to report and forwards those of others.
 COALESCE_S = 0.05
-ASSUMED_INTERVAL_S = 0.1  # between crashes that were written down: when they came is not known
-MAX_ENDED_TARGETS = (
-    256  # targets that ended, so that each is asked once however many connections broke
-)
+ASSUMED_INTERVAL_S = 0.1  # between listed crashes, whose times are not stored
+MAX_ENDED_TARGETS = 256  # remembered, so that each is probed once for all its broken connections
 
 log = get_logger(__name__)
 
 
 class CrashMonitor:
-    """Keeps requests that end targets away from them.
+    """Quarantines requests that crash targets.
 
-    `tell` sends updates to the entries that listen here. What others send is passed on where
-    `passes_on` says so: by those entries of a place to which all other places listen.
+    `broadcast` sends updates to the subscribed entries. Received updates are forwarded if
+    `is_forwarder` returns true, which it does for those entries of a place to which all other
+    places subscribe.
 
-        watch.require_allowed(admitted)  # raises `RequestQuarantined`
-        await watch.note_lost(admitted, entry, began_at)
-        watch.note_served(admitted)
+        monitor.require_not_quarantined(admitted)  # raises `RequestQuarantined`
+        await monitor.note_connection_lost(admitted, entry, began_at)
+        monitor.note_served(admitted)
     """
 
     def __init__(
@@ -66,18 +66,18 @@
         self._broadcast = broadcast
         self._is_forwarder = is_forwarder
         self._clock = clock
-        self._ledger = CrashTracker()
-        self._rows = CrashRows(rows, self._ledger, rng)
+        self._tracker = CrashTracker()
+        self._rows = CrashRows(rows, self._tracker, rng)
         self._pending = CrashReport()
         self._probes: dict[TargetId, asyncio.Task[bool]] = {}
         self._ended_targets: dict[TargetId, None] = {}
         self._changed = asyncio.Event()
         self._crashes = metrics.counter("target_crashes")
-        metrics.read_gauge("requests_quarantined", lambda: len(self._ledger.quarantined))
+        metrics.read_gauge("requests_quarantined", lambda: len(self._tracker.quarantined))
         self._loop = Background("crash updates", self._run)
 
     async def start(self) -> None:
-        """Begin to tell and to judge."""
+        """Start sending updates and evaluating crashes."""
         self._loop.start()
         await self._rows.start()
 
@@ -91,31 +91,33 @@
     # ---- requests of this entry -----------------------------------------------------------
 
     def require_not_quarantined(self, admitted: AdmittedRequest) -> None:
-        """Raise `RequestQuarantined` for a request that ends targets."""
-        if self._ledger.is_empty:
+        """Raise `RequestQuarantined` if the request is quarantined."""
+        if self._tracker.is_empty:
             return
         now = self._clock()
-        if self._ledger.status(admitted.digest, now) is not CrashStatus.QUARANTINED:
+        if self._tracker.status(admitted.digest, now) is not CrashStatus.QUARANTINED:
             return
-        left_ms = round(self._ledger.quarantine_left(admitted.digest, now) * MS_PER_S)
+        left_ms = round(self._tracker.quarantine_left(admitted.digest, now) * MS_PER_S)
         raise RequestQuarantined(
-            f"targets of {admitted.service} end under this request", retry_after_ms=left_ms
+            f"targets of {admitted.service} crashed while running this request",
+            retry_after_ms=left_ms,
         )
 
     def is_quarantined(self, admitted: AdmittedRequest) -> bool:
-        """Return whether a request is kept away from targets."""
+        """Return whether a request is quarantined."""
         return self._status(admitted) is CrashStatus.QUARANTINED
 
     def is_suspect(self, admitted: AdmittedRequest) -> bool:
-        """Return whether a request is to run beside no other suspect."""
+        """Return whether a request is suspected and must not run together with other suspects."""
         return self._status(admitted) is CrashStatus.SUSPECT
 
     async def note_connection_lost(
         self, admitted: AdmittedRequest, entry: TargetEntry, began_at: float
     ) -> None:
-        """Take that a request sent at `began_at` was broken off; return once it is known why.
+        """Probe the target of a request that was sent at `began_at` and whose connection broke.
 
-        Nothing is noted unless the target has ended.
+        Return once the probe has finished, or after `PROBE_WAIT_S`. A crash is recorded only if the
+        target has ended.
         """
         probe = self._probes.get(entry.target)
         if probe is None:
@@ -127,21 +129,21 @@
         await asyncio.wait((probe,), timeout=PROBE_WAIT_S)
 
     def note_served(self, admitted: AdmittedRequest) -> None:
-        """Take that a target served a request."""
-        if self._ledger.is_empty:
+        """Record that a target served a request."""
+        if self._tracker.is_empty:
             return
         now = self._clock()
-        if self._ledger.note_served(admitted.digest, now):
+        if self._tracker.note_served(admitted.digest, now):
             self._pending.served.append(Served(admitted.digest, now))
             self._changed.set()
 
     def _status(self, admitted: AdmittedRequest) -> CrashStatus:
-        if self._ledger.is_empty:
+        if self._tracker.is_empty:
             return CrashStatus.CLEAR
-        return self._ledger.status(admitted.digest, self._clock())
+        return self._tracker.status(admitted.digest, self._clock())
 
     async def _probe(self, entry: TargetEntry) -> bool:
-        """Return whether a start of a target has ended."""
+        """Return whether this incarnation of a target has ended."""
         try:
             if entry.target in self._ended_targets:
                 return True
@@ -162,40 +164,40 @@
         if probe.cancelled() or probe.exception() is not None or not probe.result():
             return
         self._rows.note_observed(crash.request, service)
-        if self._ledger.note_crash(crash, self._clock()):
+        if self._tracker.note_crash(crash, self._clock()):
             self._pending.crashes.append(crash)
         self._changed.set()
 
     # ---- other entries, and the store -----------------------------------------------------
 
     def compose_full_update(self) -> messages.CrashUpdate | None:
-        """Return all that is known, for an entry that begins to listen; None if that is nothing."""
-        if self._ledger.is_empty:
+        """Return the complete state for a new subscriber; None if there is nothing to report."""
+        if self._tracker.is_empty:
             return None
-        return CrashReport.from_ledger(self._ledger).to_message(self._clock())
+        return CrashReport.from_ledger(self._tracker).to_message(self._clock())
 
     def apply_update(self, update: messages.CrashUpdate) -> None:
-        """Take what another entry knows; raise `ProtocolViolation` when it is not sound."""
+        """Merge the update of another entry; raise `ProtocolViolation` if it is invalid."""
         now = self._clock()
-        new = merge_report(self._ledger, CrashReport.from_message(update, now), now)
+        new = merge_report(self._tracker, CrashReport.from_message(update, now), now)
         self._apply_received(new, "entry")
 
     def apply_store_change(self, change: CrashingRequest | QuarantineLifted) -> None:
-        """Take that the store lists a request as one that may end targets, or lists it no more."""
+        """Apply that the store lists a request as crashing targets, or no longer lists it."""
         match change:
             case CrashingRequest(request, _, targets, is_quarantined):
                 now = self._clock()
                 crashes = sequential_crashes(request, targets, ASSUMED_INTERVAL_S, now)
                 quarantined = [request] if is_quarantined else []
                 listed = CrashReport(crashes, [], quarantined)
-                self._apply_received(merge_report(self._ledger, listed, now), "store")
+                self._apply_received(merge_report(self._tracker, listed, now), "store")
             case QuarantineLifted(request):
                 self._rows.note_removed(request)
-                if self._ledger.lift_quarantine(request):
+                if self._tracker.lift_quarantine(request):
                     log.info("quarantine_lifted", digest=request, source="store")
 
     def rewrite_missing(self, listed: Set[str]) -> None:
-        """Write what this entry has written, and the list lacks."""
+        """Rewrite the rows of this entry that the list lacks."""
         self._rows.rewrite_missing(listed)
 
     def _apply_received(self, new: CrashReport, source: str) -> None:
@@ -206,7 +208,7 @@
         self._changed.set()
 
     def _log_quarantined(self, request: RequestDigest, source: str) -> None:
-        crashes = self._ledger.crash_count(request)
+        crashes = self._tracker.crash_count(request)
         log.warning("request_quarantined", digest=request, crashes=crashes, source=source)
 
     async def _run(self) -> None:
@@ -221,21 +223,21 @@
                 self._broadcast(report.to_message(self._clock()))
 
     async def _wait_for_update(self) -> None:
-        """Wait until there is something to tell, or to judge."""
-        wait_s = max(0.0, self._ledger.next_check_at - self._clock())
+        """Wait until there is something to send or to evaluate."""
+        wait_s = max(0.0, self._tracker.next_check_at - self._clock())
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_s if math.isfinite(wait_s) else None):
                 await self._changed.wait()
         self._changed.clear()
 
     def _quarantine_new(self) -> None:
-        for request in self._ledger.quarantine_culprits(self._clock()):
+        for request in self._tracker.quarantine_culprits(self._clock()):
             self._log_quarantined(request, "own")
             self._pending.quarantined.append(request)
 
     def _end_expired(self) -> None:
-        for request in self._ledger.expired_quarantines(self._clock()):
-            self._ledger.lift_quarantine(request)
+        for request in self._tracker.expired_quarantines(self._clock()):
+            self._tracker.lift_quarantine(request)
             log.info("quarantine_lifted", digest=request, source="time")
             if self._is_forwarder():
                 self._rows.remove(request)
--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -1,8 +1,9 @@
-"""Fetch newer routes from entries that have them, packed, over each border once a place.
+"""Fetch newer routes from other entries, so that each place receives them once from elsewhere.
 
-Who knows something newer says so to the entries that listen to it. One that has it from its own
-place asks there. Where only another place has it, the first entry of a place fetches it and the
-others wait for that one, each rank a little longer, so that a copy is not lost with its fetcher.
+An entry with newer routes announces them to the entries that watch it. Routes are fetched from an
+entry of the same place if there is one. Otherwise the first-ranked entry of a place fetches them
+from another place, and the others wait for it, longer with each rank, so that the routes still
+arrive if that entry fails.
 """
 
 import asyncio
@@ -29,10 +30,10 @@
 from lacewinggw.wire.packing import ROUTES_LIMIT_BYTES, unpack_routes
 from lacewinggw.wire.peers import OutgoingCall, PeerLink, PeerNode
 
-# Until the next part comes. A limit for the whole would cut copies off over a full border and have
-# them begun anew without end.
+# For each part. A timeout for all parts together would abort copies over a full link between
+# places, and each retry would be aborted again.
 PART_TIMEOUT_S = 0.8
-LANE = "routes"  # a connection of its own, so that no short answer waits behind routes
+LANE = "routes"  # a separate connection, so that short answers do not wait behind routes
 
 log = get_logger(__name__)
 
@@ -40,17 +41,17 @@
 
 
 class RoutesFetcher:
-    """Fetches what other entries say that they know.
+    """Fetches routes and versions that other entries announce.
 
-    `on_fetching` is told when routes are about to be fetched; `on_taken` when they are here, with
-    the position in the store up to which all is known now, `NOWHERE` if that is not known.
+    `on_fetching` is called before routes are fetched. `on_fetched` is called when they have been
+    applied, with the store position up to which all is known, or `NOWHERE` if that is unknown.
     """
 
     def __init__(
         self,
         node: PeerNode,
-        me: LocalEntry,
-        knowledge: RoutingView,
+        local_entry: LocalEntry,
+        view: RoutingView,
         decode: DecodeRoutes,
         others: Callable[[], Iterable[PeerEntry]],
         on_fetching: Callable[[], None],
@@ -59,8 +60,8 @@
         metrics: Metrics,
     ) -> None:
         self._node = node
-        self._me = me
-        self._knowledge = knowledge
+        self._local_entry = local_entry
+        self._view = view
         self._decode = decode
         self._others = others
         self._on_fetching = on_fetching
@@ -77,11 +78,11 @@
 
     @property
     def is_fetching(self) -> bool:
-        """Whether newer routes are on their way, or another entry here is about to have them."""
+        """Whether newer routes are being fetched by this entry or another one of its place."""
         return self._is_fetching
 
     async def start(self) -> None:
-        """Begin to fetch."""
+        """Start fetching."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -89,15 +90,18 @@
         await self._loop.close()
 
     def note_update(self, entry: PeerEntry, update: messages.EntryUpdate) -> None:
-        """Note what an entry says that it knows; the age of it counts only when it was asked."""
+        """Record what another entry announces.
+
+        The ages in it are ignored: they are only valid in an answer to a question.
+        """
         if not self._is_newer(update):
             return
         if update.routes_version > self._announced_version:
             self._announced_version = update.routes_version
             log.info("routes_heard_of", version=update.routes_version, entry=entry.host)
-        self._knowledge.confirm_version(update.routes_version)
+        self._view.confirm_version(update.routes_version)
         self._holders[entry.host] = (entry, update)
-        if entry.place == self._me.place:
+        if entry.place == self._local_entry.place:
             self._near_holder.set()
         self._wake.set()
 
@@ -107,11 +111,11 @@
         return not self._has_versions(each for each in update.named if not each.is_guess)
 
     def _has_versions(self, named: Iterable[messages.NamedModelVersion]) -> bool:
-        known = {(model, due.version) for model, due in self._knowledge.all_required_versions}
+        known = {(model, due.version) for model, due in self._view.all_required_versions}
         return all((each.model, each.version) in known for each in named)
 
     def _has_newer_routes(self, update: messages.EntryUpdate) -> bool:
-        routes = self._knowledge.routes
+        routes = self._view.routes
         return update.routes_version > (routes.version if routes is not None else 0)
 
     async def _run(self) -> None:
@@ -124,14 +128,14 @@
                 self._is_fetching = False
 
     async def _fetch_all(self) -> None:
-        """Ask one after the other; once the first has failed, the store may be read meanwhile."""
+        """Fetch from one entry after another; after the first failure, allow reads of the store."""
         has_failed = False
         while holder := self._choose_holder():
             entry, update = holder
             if self._has_newer_routes(update) and not (self._is_fetching or has_failed):
                 self._is_fetching = True
                 self._on_fetching()
-            if self._has_newer_routes(update) and entry.place != self._me.place:
+            if self._has_newer_routes(update) and entry.place != self._local_entry.place:
                 await self._wait_for_near_holder()
                 entry, _ = self._choose_holder() or holder
             self._holders.pop(entry.host, None)
@@ -140,7 +144,7 @@
                 self._is_fetching = False
 
     def _choose_holder(self) -> tuple[PeerEntry, messages.EntryUpdate] | None:
-        """Return who has something newer still: one of this place if there is one."""
+        """Return an entry that has newer routes or versions, preferably one of this place."""
         for host in [
             host for host, (_, update) in self._holders.items() if not self._is_newer(update)
         ]:
@@ -149,7 +153,7 @@
             self._holders.values(),
             key=lambda holder: (
                 not self._has_newer_routes(holder[1]),
-                holder[0].place != self._me.place,
+                holder[0].place != self._local_entry.place,
                 reader_sort_key(holder[0].host),
             ),
             default=None,
@@ -157,7 +161,7 @@
 
     async def _wait_for_near_holder(self) -> None:
         self._near_holder.clear()
-        wait_s = remote_fetch_delay_s(rank_in_place(self._me, self._others()))
+        wait_s = remote_fetch_delay_s(rank_in_place(self._local_entry, self._others()))
         try:
             async with asyncio.timeout(wait_s):
                 await self._near_holder.wait()
@@ -165,8 +169,8 @@
             log.debug("routes_not_in_place", waited_s=wait_s)
 
     async def _fetch(self, entry: PeerEntry) -> bool:
-        """Ask an entry for all that it knows; return whether it answered."""
-        routes = self._knowledge.routes
+        """Fetch routes and versions from an entry; return whether it answered."""
+        routes = self._view.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=True)
         sent_at = self._clock()
         link: PeerLink | None = None
@@ -174,14 +178,14 @@
             async with asyncio.timeout(PART_TIMEOUT_S):
                 link = await self._node.link(entry.address, LANE)
             packed, update = await _receive(link.open(question))
-            apply_answer(self._knowledge, update, sent_at)
+            apply_answer(self._view, update, sent_at)
             if packed:
                 self._apply_routes(packed, update, entry, sent_at)
         except (LacewingError, TimeoutError, OSError) as error:
             self._failed.add()
             log.info("routes_not_fetched", entry=entry.host, error=error)
             if link is not None:
-                link.close()  # what is still on its way would hold up the next copy
+                link.close()  # parts still in flight would delay the next copy
             return False
         self._fetched.add()
         return True
@@ -190,7 +194,7 @@
         self, packed: bytes, update: messages.EntryUpdate, entry: PeerEntry, sent_at: float
     ) -> None:
         table = self._decode(unpack_routes(packed))
-        if not self._knowledge.update_routes(table):
+        if not self._view.update_routes(table):
             return
         log.info(
             "routes_taken",
@@ -207,7 +211,11 @@
 
 
 async def _receive(call: OutgoingCall) -> tuple[bytes, messages.EntryUpdate]:
-    """Return routes that come in parts, joined, and the update after them."""
+    """Return the joined parts of the routes and the update that follows them.
+
+    Raise `ProtocolViolation` for other messages or too many bytes, and `TimedOut` if the next part
+    does not arrive in time.
+    """
     parts: list[bytes] = []
     size = 0
     replies = call.replies()
@@ -220,12 +228,16 @@
                     parts.append(data)
                     size += len(data)
                     if size > ROUTES_LIMIT_BYTES:
-                        raise ProtocolViolation(f"packed routes of more than {size} bytes")
+                        raise ProtocolViolation(
+                            f"packed routes exceed the size limit with {size} bytes"
+                        )
                 case messages.EntryUpdate() as update:
                     return b"".join(parts), update
                 case _:
-                    raise ProtocolViolation(f"a {type(message).__name__} among routes")
+                    raise ProtocolViolation(
+                        f"unexpected {type(message).__name__} among the parts of routes"
+                    )
     except TimeoutError as error:
-        raise TimedOut(f"no more of the routes after {size} bytes") from error
+        raise TimedOut(f"no further part of the routes after {size} bytes") from error
     finally:
         call.abandon()
--- a/src/lacewinggw/frontend/freshness.py
+++ b/src/lacewinggw/frontend/freshness.py
@@ -1,8 +1,8 @@
-"""Learn from other entries how new the knowledge of the routes is.
+"""Check with other entries whether this entry's routes are still current.
 
-A few entries read the store often; the others ask them, which costs the store nothing and keeps an
-entry serving that the store turns away. The age of what a reply tells counts from the sending of
-the question, so no clocks are compared and a reply that was held up proves less, never more.
+A few entries read the store often. The others ask them, which causes no load on the store and lets
+an entry keep serving while the store rejects its calls. Ages in a reply count from the sending of
+the question, so no clocks are compared, and a delayed reply yields a higher age, never a lower one.
 """
 
 import asyncio
@@ -28,8 +28,8 @@
 from lacewinggw.wire.peers import PeerNode
 from lacewinggw.wire.soundness import require_sound
 
-CHECK_INTERVAL_S = 0.8  # between questions: an age then stays within the reader's wait and this
-ANSWER_TIMEOUT_S = 0.5  # between regions an answer takes some ms, over a full link some 100
+CHECK_INTERVAL_S = 0.8  # the age of the routes stays within the reader's poll time plus this
+ANSWER_TIMEOUT_S = 0.5  # answers between regions take some ms, or some 100 ms over a full link
 MS_PER_S = 1000.0
 
 log = get_logger(__name__)
@@ -37,25 +37,26 @@
 OnAnswer = Callable[[PeerEntry, messages.EntryUpdate], None]
 
 
-def apply_answer(knowledge: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
-    """Take what another entry answered to a question that was sent at a moment.
+def apply_answer(view: RoutingView, update: messages.EntryUpdate, sent_at: float) -> None:
+    """Apply another entry's answer to a question that was sent at `sent_at`.
 
-    Who has just started counts versions that it finds named as older than they may be. Such a guess
-    is taken only by one that has just started as well: others were there and know better.
+    An entry that has just started may overestimate the age of the versions that it finds. Such a
+    guess is accepted only by an entry that has no routes yet either: entries that were running when
+    the version appeared know its age better.
 
-    Raise `ProtocolViolation` for an answer that is not sound.
+    Raise `ProtocolViolation` if the answer is invalid.
     """
     require_sound(update)
     for target in update.leaving:
-        knowledge.mark_leaving(TargetId(target))
-    starts = knowledge.routes is None
+        view.mark_leaving(TargetId(target))
+    is_starting = view.routes is None
     for named in update.named:
         due = DueVersion(ModelName(named.model), named.version)
         if not named.is_guess:
-            knowledge.require_version(due, sent_at - named.age_ms / MS_PER_S)
-        elif starts:
-            knowledge.require_version(due, sent_at, old=True)
-    knowledge.confirm_version(
+            view.require_version(due, sent_at - named.age_ms / MS_PER_S)
+        elif is_starting:
+            view.require_version(due, sent_at, old=True)
+    view.confirm_version(
         update.routes_version,
         sent_at - update.routes_age_ms / MS_PER_S,
         sent_at - update.routes_seen_age_ms / MS_PER_S,
@@ -63,13 +64,13 @@
 
 
 class FreshnessChecker:
-    """Asks other entries how old their routes are; `on_heard` is told of each answer."""
+    """Asks other entries how old their routes are; `on_answer` is called with each answer."""
 
     def __init__(
         self,
         node: PeerNode,
-        me: LocalEntry,
-        knowledge: RoutingView,
+        local_entry: LocalEntry,
+        view: RoutingView,
         leaving_targets: LeavingTargets,
         others: Callable[[], Iterable[PeerEntry]],
         on_answer: OnAnswer,
@@ -77,8 +78,8 @@
         metrics: Metrics,
     ) -> None:
         self._node = node
-        self._me = me
-        self._knowledge = knowledge
+        self._local_entry = local_entry
+        self._view = view
         self._leaving_targets = leaving_targets
         self._others = others
         self._on_answer = on_answer
@@ -88,7 +89,7 @@
         self._loop = Background("vouching", self._run)
 
     async def start(self) -> None:
-        """Begin to ask."""
+        """Start asking."""
         self._loop.start()
 
     async def close(self) -> None:
@@ -100,23 +101,23 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._is_up_to_date:
                 continue
-            asked = choose_peers_to_query(self._me, self._others())
+            asked = choose_peers_to_query(self._local_entry, self._others())
             await asyncio.gather(*(self._ask(entry) for entry in asked))
 
     @property
     def _is_up_to_date(self) -> bool:
-        """Whether this entry reads the store for its place, and the store answers it."""
-        fresh = self._knowledge.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
-        return fresh and is_route_reader(self._me, self._others())
+        """Whether this entry reads the store for its place and the store answers."""
+        fresh = self._view.routes_observed_age_s(self._clock()) < CONFIRMED_MAX_AGE_S
+        return fresh and is_route_reader(self._local_entry, self._others())
 
     async def _ask(self, entry: PeerEntry) -> None:
-        routes = self._knowledge.routes
+        routes = self._view.routes
         question = messages.AskUpdate(routes.version if routes else 0, wants_routes=False)
         sent_at = self._clock()
         try:
             link = await asyncio.wait_for(self._node.link(entry.address), ANSWER_TIMEOUT_S)
             update = await link.call(question, ANSWER_TIMEOUT_S)
-            apply_answer(self._knowledge, update, sent_at)
+            apply_answer(self._view, update, sent_at)
         except (LacewingError, TimeoutError, OSError) as error:
             self._failures.add()
             log.debug("entry_did_not_vouch", entry=entry.host, error=error)
--- a/src/lacewinggw/frontend/leavingtargets.py
+++ b/src/lacewinggw/frontend/leavingtargets.py
@@ -1,4 +1,4 @@
-"""Targets that leave: noted once, whoever says so, with a log line that says who."""
+"""Record which targets are leaving, once per target, and log which source reported it."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -12,37 +12,38 @@
 
 
 class LeavingSource(Enum):
-    """Who said that a target leaves."""
+    """The source that reported a target as leaving."""
 
     LIST = "list"  # the operators' store
-    AGENT = "agent"  # the process beside the target
+    AGENT = "agent"  # the agent process of the target
     ENTRY = "entry"  # another entry
     ANSWER = "answer"  # the target itself
-    ADDRESS = "address"  # another start of a target answers there
+    ADDRESS = "address"  # another target answers at its address
 
 
-# What came from another entry, or from an agent that tells all entries near, goes on with the usual
-# updates: if each entry passed it on at once, all would tell all others of each target that leaves.
+# Sources whose reports are sent to other entries at once. Reports of another entry, or of an agent,
+# which notifies all nearby entries, go out with the periodic updates. If each entry forwarded them
+# at once, every entry would notify every other one of each leaving target.
 URGENT_SOURCES = frozenset({LeavingSource.LIST, LeavingSource.ANSWER, LeavingSource.ADDRESS})
 
 
 class LeavingTargets:
-    """Notes which targets leave, in the knowledge of this entry.
+    """Records which targets are leaving in this entry's view of the fleet.
 
-    `on_leaving` is called whenever there are new ones, `on_urgent` when other entries are to be
-    told at once.
+    `on_leaving` is called when there are new ones, and `on_urgent` when other entries must be
+    notified at once.
 
-        departures.note(target, LeavingSource.ENTRY)
+        leaving_targets.mark_leaving(target, LeavingSource.ENTRY)
     """
 
     def __init__(
         self,
-        knowledge: RoutingView,
+        view: RoutingView,
         on_leaving: Callable[[], None],
         on_urgent: Callable[[], None],
         metrics: Metrics,
     ) -> None:
-        self._knowledge = knowledge
+        self._view = view
         self._on_leaving = on_leaving
         self._on_urgent = on_urgent
         self._logged: frozenset[TargetId] = frozenset()
@@ -51,15 +52,15 @@
         }
 
     def mark_leaving(self, target: TargetId, source: LeavingSource) -> None:
-        """Note that a target takes no new work."""
-        if target in self._knowledge.leaving:
+        """Record that a target accepts no new requests."""
+        if target in self._view.leaving:
             return
-        self._knowledge.mark_leaving(target)
+        self._view.mark_leaving(target)
         self.publish_new(source)
 
     def publish_new(self, source: LeavingSource) -> None:
-        """Log and pass on what the knowledge has just taken from a source."""
-        leaving = frozenset(self._knowledge.leaving)
+        """Log and report the targets that have newly become leaving, as reported by `source`."""
+        leaving = frozenset(self._view.leaving)
         new = leaving - self._logged
         self._logged = leaving
         for target in sorted(new):
