--- a/src/lacewinggw/agent/follower.py
+++ b/src/lacewinggw/agent/follower.py
@@ -98,16 +98,16 @@
         return [Address(entry.address) for entry in entries]
 
     async def _bootstrap(self) -> bool:
-        snapshot = await self._peers.ask(self._addresses())
+        snapshot = await self._peers.fetch_snapshot(self._addresses())
         if snapshot is None:
             return False
-        self._replica.adopt(snapshot)
+        self._replica.adopt_snapshot(snapshot)
         return True
 
     async def _follow(self) -> None:
         while True:
             try:
-                await self._upstreams.tend()
+                await self._upstreams.maintain()
             except LacewingError as error:
                 log.info("configuration_tail_unread", error=error)
             await asyncio.sleep(self._poll_s() * self._rng.uniform(0.8, 1.2))
--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -110,7 +110,7 @@
             process.fleet_key,
             self._handle,
             revision=lambda: self.follower.revision,
-            on_revision=lambda link, revision: self.follower.saw_revision(link, revision),
+            on_revision=lambda link, revision: self.follower.catch_up_if_behind(link, revision),
         )
         self.follower = ConfigurationFollower.from_config(
             settings.configuration,
--- a/src/lacewinggw/configuration/bootstrap.py
+++ b/src/lacewinggw/configuration/bootstrap.py
@@ -10,8 +10,8 @@
 from lacewinggw.log import get_logger
 from lacewinggw.wire.peers import PeerNode
 
-ASKED_AT_ONCE = 4
-ANSWERS_NEEDED = 2
+CONCURRENT_REQUESTS = 4
+MIN_ANSWERS = 2
 
 log = get_logger(__name__)
 
@@ -27,17 +27,17 @@
         self._asked: set[Address] = set()
         self._answers: dict[Address, Snapshot] = {}
 
-    async def ask(self, addresses: Sequence[Address]) -> Snapshot | None:
+    async def fetch_snapshot(self, addresses: Sequence[Address]) -> Snapshot | None:
         """Ask the next few of `addresses`; return the highest configuration once it is enough."""
         unasked = [address for address in addresses if address not in self._asked]
         if not unasked:
             self._asked.clear()
             unasked = list(addresses)
-        await asyncio.gather(*(self._ask_one(address) for address in unasked[:ASKED_AT_ONCE]))
+        await asyncio.gather(*(self._ask_one(address) for address in unasked[:CONCURRENT_REQUESTS]))
         everyone_asked = self._asked.issuperset(addresses)
         if not self._answers:
             return None
-        if len(self._answers) < ANSWERS_NEEDED and not everyone_asked:
+        if len(self._answers) < MIN_ANSWERS and not everyone_asked:
             return None
         return max(self._answers.values(), key=lambda snapshot: snapshot.revision)
 
--- a/src/lacewinggw/configuration/holder.py
+++ b/src/lacewinggw/configuration/holder.py
@@ -38,10 +38,10 @@
         """Answer a message about the configuration; return False for any other."""
         return await self._replica.handle(exchange)
 
-    def saw_revision(self, link: PeerLink, revision: int) -> None:
+    def catch_up_if_behind(self, link: PeerLink, revision: int) -> None:
         """Catch up over a link whose other side is ahead."""
-        self._replica.saw_revision(link, revision)
+        self._replica.catch_up_if_behind(link, revision)
 
-    async def reached(self, revision: int, timeout_s: float) -> bool:
+    async def wait_for_revision(self, revision: int, timeout_s: float) -> bool:
         """Wait until `revision` is applied here; return False after `timeout_s` seconds."""
-        return await self._replica.reached(revision, timeout_s)
+        return await self._replica.wait_for_revision(revision, timeout_s)
--- a/src/lacewinggw/configuration/logstore.py
+++ b/src/lacewinggw/configuration/logstore.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Taken:
+class RevisionConflict:
     """Another entry has that revision."""
 
     entry: LogEntry
@@ -55,7 +55,7 @@
     """The revision was deleted long ago: the writer is far behind."""
 
 
-AppendResult = Appended | Taken | Outdated
+AppendResult = Appended | RevisionConflict | Outdated
 
 
 @dataclass(frozen=True)
@@ -203,7 +203,7 @@
 
     async def _taken(self, entry: LogEntry) -> AppendResult:
         floor = await self.read_floor()
-        return Taken(entry) if floor.deleted < entry.revision else Outdated()
+        return RevisionConflict(entry) if floor.deleted < entry.revision else Outdated()
 
     async def _delete_rows(self, through: int) -> None:
         rows = await self._table.scan(ROW_PREFIX, "", DELETE_LIMIT)
--- a/src/lacewinggw/configuration/replica.py
+++ b/src/lacewinggw/configuration/replica.py
@@ -27,9 +27,9 @@
 
 TAIL_LENGTH = 500
 FETCH_LIMIT = 100
-SMALL_UPDATE_BYTES = 4096
+MAX_INLINE_UPDATE_BYTES = 4096
 PEER_TIMEOUT_S = 2.0
-NEWS_GRACE_S = 0.02
+UPDATE_GRACE_S = 0.02
 
 log = get_logger(__name__)
 
@@ -93,7 +93,7 @@
             self._publish(applied)
         return gap
 
-    def adopt(self, snapshot: Snapshot) -> bool:
+    def adopt_snapshot(self, snapshot: Snapshot) -> bool:
         """Take a whole state over if it is newer; return whether it was."""
         if snapshot.revision <= self.revision:
             return False
@@ -104,7 +104,7 @@
         self._publish([])
         return True
 
-    async def reached(self, revision: int, timeout_s: float) -> bool:
+    async def wait_for_revision(self, revision: int, timeout_s: float) -> bool:
         """Wait until `revision` is applied; return False after `timeout_s` seconds."""
         if self.revision >= revision:
             return True
@@ -117,7 +117,7 @@
             return False
         return True
 
-    def saw_revision(self, link: PeerLink, revision: int) -> None:
+    def catch_up_if_behind(self, link: PeerLink, revision: int) -> None:
         """Catch up over a link whose other side is ahead."""
         if revision <= self.revision or self._catching_up is not None:
             return
@@ -176,15 +176,15 @@
         self.offer(entries)
         self._metrics.count("configuration_news", kind="new" if self.revision > known else "known")
         if head > self.revision:
-            self.saw_revision(link, head)
+            self.catch_up_if_behind(link, head)
 
     async def _fetch_snapshot(self, link: PeerLink) -> bool:
         snapshot = await link.call(FetchSnapshot(self.revision), PEER_TIMEOUT_S)
-        return isinstance(snapshot, Snapshot) and self.adopt(snapshot)
+        return isinstance(snapshot, Snapshot) and self.adopt_snapshot(snapshot)
 
     async def _catch_up_soon(self, link: PeerLink, revision: int) -> None:
         """Give the news itself, which mostly follows at once, a moment to arrive."""
-        await asyncio.sleep(NEWS_GRACE_S)
+        await asyncio.sleep(UPDATE_GRACE_S)
         if self.revision >= revision or not self.ready:
             return
         try:
@@ -214,7 +214,7 @@
         if not self._subscribers or not self.ready:
             return
         size = sum(len(encode_struct(entry)) for entry in entries)
-        update = LogNews(entries if size <= SMALL_UPDATE_BYTES else [], self.revision)
+        update = LogNews(entries if size <= MAX_INLINE_UPDATE_BYTES else [], self.revision)
         news_bytes = len(encode_struct(update))
         for link in list(self._subscribers):
             if link.closed.is_set():
--- a/src/lacewinggw/configuration/upstreams.py
+++ b/src/lacewinggw/configuration/upstreams.py
@@ -15,7 +15,7 @@
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import PeerLink, PeerNode
 
-AVOID_S = 10.0
+AVOIDANCE_S = 10.0
 
 log = get_logger(__name__)
 
@@ -51,7 +51,7 @@
         """When one last answered and this process had all that it has, in the loop's time."""
         return self._confirmed_at
 
-    async def tend(self) -> bool:
+    async def maintain(self) -> bool:
         """Keep the subscriptions up and ask one for what was missed; return whether it answered."""
         self._drop_closed()
         for address in self._wanted():
@@ -76,7 +76,7 @@
         self._links.pop(address, None)
         now = asyncio.get_running_loop().time()
         self._avoided = {each: until for each, until in self._avoided.items() if until > now}
-        self._avoided[address] = now + AVOID_S
+        self._avoided[address] = now + AVOIDANCE_S
         self._metrics.count("configuration_upstreams_left")
 
     async def _subscribe(self, address: Address) -> None:
--- a/src/lacewinggw/entry/ledger.py
+++ b/src/lacewinggw/entry/ledger.py
@@ -15,7 +15,13 @@
 from lacewinggw.clients.table import TableClient
 from lacewinggw.configuration.bootstrap import PeerBootstrap
 from lacewinggw.configuration.holder import ReplicaHolder
-from lacewinggw.configuration.logstore import Appended, LogStore, Outdated, Taken, Truncated
+from lacewinggw.configuration.logstore import (
+    Appended,
+    LogStore,
+    Outdated,
+    RevisionConflict,
+    Truncated,
+)
 from lacewinggw.configuration.replica import Replica
 from lacewinggw.configuration.upstreams import Upstreams
 from lacewinggw.decisions.commands import check_command, check_within_history, find_accepted_entry
@@ -179,7 +185,7 @@
             case Appended():
                 self._replica.offer([entry])
                 self._snapshot_if_due()
-            case Taken(entry=winner):
+            case RevisionConflict(entry=winner):
                 self._metrics.retry(RetryReason.COMPARE_AND_SET)
                 self._replica.offer([winner])
             case Outdated():
@@ -189,7 +195,7 @@
         try:
             snapshot = await self._store.newest_snapshot()
             if snapshot is not None:
-                self._replica.adopt(snapshot)
+                self._replica.adopt_snapshot(snapshot)
             await self._read_tail()
         except LacewingError as error:
             log.warning("configuration_not_from_store", error=error)
@@ -199,10 +205,10 @@
     async def _bootstrap_from_peers(self) -> bool:
         if self._peers is None:
             return False
-        snapshot = await self._peers.ask(self._neighbour_addresses())
+        snapshot = await self._peers.fetch_snapshot(self._neighbour_addresses())
         if snapshot is None:
             return False
-        self._replica.adopt(snapshot)
+        self._replica.adopt_snapshot(snapshot)
         return True
 
     def _neighbour_addresses(self) -> list[Address]:
@@ -225,7 +231,7 @@
 
     async def _follow_once(self) -> None:
         self._cycle += 1
-        answered = self._upstreams is not None and await self._upstreams.tend()
+        answered = self._upstreams is not None and await self._upstreams.maintain()
         if self._is_reader() or not answered or self._cycle % SAFETY_READ_CYCLES == 0:
             await self._read_tail()
 
@@ -242,7 +248,7 @@
             match result:
                 case Truncated(snapshot=revision):
                     snapshot = await self._store.load_snapshot(revision)
-                    if snapshot is None or not self._replica.adopt(snapshot):
+                    if snapshot is None or not self._replica.adopt_snapshot(snapshot):
                         raise PlatformError(f"the snapshot of revision {revision} is missing")
                 case _:
                     if not result.entries:
--- a/src/lacewinggw/entry/operators.py
+++ b/src/lacewinggw/entry/operators.py
@@ -158,7 +158,7 @@
     async def _read_revision(self, body: dict[str, Any]) -> int:
         """Return the revision that a command is based on, once this entry has reached it."""
         requested = _number(body, "read_revision", self._ledger.revision)
-        if await self._ledger.reached(requested, CATCH_UP_TIMEOUT_S):
+        if await self._ledger.wait_for_revision(requested, CATCH_UP_TIMEOUT_S):
             return requested
         raise NoConfiguration(
             f"this entry is at revision {self._ledger.revision}, the command at {requested}",
--- a/src/lacewinggw/entry/process.py
+++ b/src/lacewinggw/entry/process.py
@@ -59,7 +59,7 @@
             process.fleet_key,
             self._handle,
             revision=lambda: self.ledger.revision,
-            on_revision=lambda link, revision: self.ledger.saw_revision(link, revision),
+            on_revision=lambda link, revision: self.ledger.catch_up_if_behind(link, revision),
         )
         self.ledger = Ledger.from_config(
             settings.configuration,
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -68,7 +68,7 @@
             FLEET_KEY,
             self._handle,
             lambda: self.config.revision,
-            lambda link, revision: self.config.saw_revision(link, revision),
+            lambda link, revision: self.config.catch_up_if_behind(link, revision),
         )
         self.table = TableClient.from_settings(self.network, fleet.platform.addresses)
         self.objects = ObjectClient.from_settings(self.network, fleet.platform.addresses)
--- a/tests/fleet/declared_fleet.py
+++ b/tests/fleet/declared_fleet.py
@@ -8,7 +8,7 @@
 import h11
 from lacewinggw_platform.engine import PlatformEngine
 from lacewinggw_platform.fleet import decode_routes
-from lacewinggw_platform.heads import PlatformHeads
+from lacewinggw_platform.heads import PlatformCallCodec
 from lacewinggw_platform.origin import PlatformOrigin
 from lacewinggw_platform.pages import directory_page, ready_page
 from lacewinggw_platform.store import PlatformStore
@@ -99,7 +99,7 @@
         entry.peer_listen, entry.address_ttl_ms = f"{ip}:7700", 2000
         network = self.network.view(ip)
         store = PlatformStore(self._client(network), STORE)
-        heads = PlatformHeads()
+        heads = PlatformCallCodec()
         adapter = FrontendAdapter(store, store, heads, ready_page, directory_page, decode_routes)
         process = FrontendProcess(settings, adapter, network, _loop_time, random.Random(number))
         await process.start()
--- a/tests/fleet/test_adapter.py
+++ b/tests/fleet/test_adapter.py
@@ -5,7 +5,7 @@
 
 import pytest
 from lacewinggw_platform.fleet import decode_routes, decode_target
-from lacewinggw_platform.heads import PlatformHeads
+from lacewinggw_platform.heads import PlatformCallCodec
 from lacewinggw_platform.store import PlatformStore
 from platform_standins import BORN_MS, KEY, LLM, ORIGIN, manifest, target_row
 
@@ -37,7 +37,7 @@
     ("Last-Event-Id", "12"),
     ("X-Tenant", "forged"),
 ]
-HEADS = PlatformHeads()
+HEADS = PlatformCallCodec()
 
 
 def encoded(value):
--- a/tests/fleet/test_targetrate.py
+++ b/tests/fleet/test_targetrate.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from lacewinggw_platform.heads import PlatformHeads
+from lacewinggw_platform.heads import PlatformCallCodec
 from limiting import EXCESS, EXTRA, SPAN_S, busiest_span
 
 from lacewinggw.decisions.dispatch import TargetPool
@@ -60,7 +60,7 @@
     ],
 )
 def test_a_malformed_limit_counts_as_none(headers, per_s):
-    assert PlatformHeads().read_answer(200, headers).limit_per_s == per_s
+    assert PlatformCallCodec().read_answer(200, headers).limit_per_s == per_s
 
 
 def test_an_update_counts_only_if_newer_by_more_than_its_delay():
--- a/tests/machines/test_log_machine.py
+++ b/tests/machines/test_log_machine.py
@@ -83,7 +83,7 @@
 
     @rule(to=replicas, source=replicas)
     def adopt(self, to: int, source: int) -> None:
-        self.replicas[to].adopt(self.replicas[source].state.to_snapshot())
+        self.replicas[to].adopt_snapshot(self.replicas[source].state.to_snapshot())
 
     @rule(which=replicas, source=replicas)
     def replace(self, which: int, source: int) -> None:
@@ -92,7 +92,7 @@
             return
         snapshot = self.replicas[source].state.to_snapshot()
         self.replicas[which] = Replica(Metrics())
-        self.replicas[which].adopt(snapshot)
+        self.replicas[which].adopt_snapshot(snapshot)
 
     @rule(to=replicas, revision=st.integers(0, 30))
     def apply_out_of_order(self, to: int, revision: int) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -78,7 +78,7 @@
     assert state.revision_of_command("c1") is None
     assert state.history_base_revision == 9
     async with running(entries=1) as fleet:
-        fleet.entries[0].ledger._replica.adopt(state.to_snapshot())
+        fleet.entries[0].ledger._replica.adopt_snapshot(state.to_snapshot())
         entry = fleet.entries[0]
         with pytest.raises(ConfigurationConflict, match="only revisions after 9 are remembered"):
             await entry.accept(release("m1"), command="c1", read=0)
