--- a/src/lacewinggw/configuration/__init__.py
+++ b/src/lacewinggw/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration log: its rows in the platform's store, and the copy in each process."""
+"""The configuration log: its rows in the platform's store, and the replica in each process."""
--- a/src/lacewinggw/configuration/bootstrap.py
+++ b/src/lacewinggw/configuration/bootstrap.py
@@ -1,4 +1,7 @@
-"""A first configuration from other processes: several, so that one that is behind does no harm."""
+"""Fetch the first configuration from other processes.
+
+Several peers are asked, so that a peer that is behind does not determine the result.
+"""
 
 import asyncio
 from collections.abc import Sequence
@@ -17,9 +20,10 @@
 
 
 class PeerBootstrap:
-    """Ask peers, a few at a time, until enough have answered.
+    """Request snapshots from peers, a few at a time, until enough have answered.
 
-    Two answers are enough; one is, only after every peer of the list was asked.
+    `MIN_ANSWERS` answers are enough. Fewer, but at least one, are enough once every listed peer
+    was asked.
     """
 
     def __init__(self, node: PeerNode) -> None:
@@ -28,16 +32,16 @@
         self._answers: dict[Address, Snapshot] = {}
 
     async def fetch_snapshot(self, addresses: Sequence[Address]) -> Snapshot | None:
-        """Ask the next few of `addresses`; return the highest configuration once it is enough."""
+        """Ask the next few of `addresses`; return the newest snapshot once enough have answered."""
         unasked = [address for address in addresses if address not in self._asked]
         if not unasked:
             self._asked.clear()
             unasked = list(addresses)
         await asyncio.gather(*(self._ask_one(address) for address in unasked[:CONCURRENT_REQUESTS]))
-        everyone_asked = self._asked.issuperset(addresses)
+        all_asked = self._asked.issuperset(addresses)
         if not self._answers:
             return None
-        if len(self._answers) < MIN_ANSWERS and not everyone_asked:
+        if len(self._answers) < MIN_ANSWERS and not all_asked:
             return None
         return max(self._answers.values(), key=lambda snapshot: snapshot.revision)
 
--- a/src/lacewinggw/configuration/candidates.py
+++ b/src/lacewinggw/configuration/candidates.py
@@ -1,4 +1,4 @@
-"""The entries on the list of hosts, as the choices of whom to hear news from need them."""
+"""The entries in the membership list, as candidates for the selection of upstreams."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def entry_candidates(members: Iterable[Member]) -> list[Candidate]:
-    """Return every listed entry, leaving ones too: those know the configuration as well."""
+    """Return every listed entry, including leaving ones: they still hold the configuration."""
     return [
         Candidate(member.host, member.place, member.address)
         for member in members
--- a/src/lacewinggw/configuration/holder.py
+++ b/src/lacewinggw/configuration/holder.py
@@ -1,4 +1,4 @@
-"""What every process that keeps a copy of the configuration shows of it."""
+"""The interface to a process's configuration replica that entries and agents share."""
 
 from lacewinggw.configuration.replica import OnChange, Replica
 from lacewinggw.decisions.revisions import FleetState
@@ -6,10 +6,10 @@
 
 
 class ReplicaHolder:
-    """A process's copy of the configuration, as the rest of the process sees it.
+    """Base class of the components that keep a process's configuration replica up to date.
 
-    How the copy is brought up to date differs between entries and agents; what is read of it, and
-    what is answered about it, does not.
+    Entries and agents update the replica in different ways, but expose the same state and answer
+    the same messages about it.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -17,31 +17,31 @@
 
     @property
     def state(self) -> FleetState:
-        """The configuration as known here."""
+        """The configuration in this process's replica."""
         return self._replica.state
 
     @property
     def ready(self) -> bool:
-        """Whether there is a configuration to serve by."""
+        """Whether the replica holds a configuration that the process can serve with."""
         return self._replica.ready
 
     @property
     def revision(self) -> int:
-        """The highest revision applied here."""
+        """The highest revision applied to the replica."""
         return self._replica.revision
 
     def on_change(self, callback: OnChange) -> None:
-        """Have `callback(state, entries)` called after each change."""
+        """Register `callback(state, entries)` to be called after each change."""
         self._replica.on_change(callback)
 
     async def handle(self, exchange: Exchange) -> bool:
-        """Answer a message about the configuration; return False for any other."""
+        """Answer a message about the configuration; return False for any other message."""
         return await self._replica.handle(exchange)
 
     def catch_up_if_behind(self, link: PeerLink, revision: int) -> None:
-        """Catch up over a link whose other side is ahead."""
+        """Start to catch up over `link` if `revision`, reported by its peer, is ahead."""
         self._replica.catch_up_if_behind(link, revision)
 
     async def wait_for_revision(self, revision: int, timeout_s: float) -> bool:
-        """Wait until `revision` is applied here; return False after `timeout_s` seconds."""
+        """Wait until `revision` is applied; return False after `timeout_s` seconds."""
         return await self._replica.wait_for_revision(revision, timeout_s)
--- a/src/lacewinggw/configuration/logstore.py
+++ b/src/lacewinggw/configuration/logstore.py
@@ -1,10 +1,11 @@
-"""The configuration log in the platform's store: rows, snapshots and their truncation.
-
-Each entry is one row `log/<revision>`, created only if absent; acceptance is that creation. Every
-so many revisions the whole state goes to the object store and old rows are deleted. A deleted row
-could be created again by a writer that was paused for long, so the row `log-floor` says up to where
-rows were deleted: it is raised before the first deletion and read after each append and each read
-that found rows, and what lies at or below it does not count.
+"""The configuration log in the platform's store: rows, snapshots and truncation.
+
+Each entry is one row `log/<revision>`, created only if absent; an entry is accepted once its row is
+created. At intervals of revisions a snapshot of the whole state is written to the object store and
+old rows are deleted. A writer that was paused for a long time could create a deleted row again.
+Therefore the row `log-floor` holds the highest revision that may have been deleted: it is raised
+before the first deletion and read after each append and after each read that found rows, and rows
+at or below it are ignored.
 """
 
 import base64
@@ -45,14 +46,14 @@
 
 @dataclass(frozen=True)
 class RevisionConflict:
-    """Another entry has that revision."""
+    """Another entry, `entry`, already has that revision."""
 
     entry: LogEntry
 
 
 @dataclass(frozen=True)
 class Outdated:
-    """The revision was deleted long ago: the writer is far behind."""
+    """The revision was already truncated: the writer is far behind."""
 
 
 AppendResult = Appended | RevisionConflict | Outdated
@@ -60,14 +61,14 @@
 
 @dataclass(frozen=True)
 class Rows:
-    """Entries that follow on a revision without a gap; none when nothing is new."""
+    """Entries that follow a revision without a gap; empty when there are no new ones."""
 
     entries: list[LogEntry]
 
 
 @dataclass(frozen=True)
 class Truncated:
-    """The entries that follow were deleted; go on from the snapshot at `snapshot`."""
+    """The entries that follow were deleted; continue from the snapshot of revision `snapshot`."""
 
     snapshot: int
 
@@ -76,31 +77,33 @@
 
 
 def row_key(revision: int) -> str:
-    """Return the key of a revision's row; keys sort as revisions do."""
+    """Return the key of a revision's row; keys sort in the order of their revisions."""
     return f"{ROW_PREFIX}{revision:0{REVISION_DIGITS}d}"
 
 
 def encode_entry(entry: LogEntry) -> str:
-    """Return an entry as the text of its row."""
+    """Return the text that a row stores for an entry."""
     return base64.b64encode(encode_struct(entry)).decode("ascii")
 
 
 def decode_entry(text: str) -> LogEntry:
-    """Return the entry that a row holds; raise `BadPlatformAnswer` when it holds none."""
+    """Return the entry that a row holds; raise `BadPlatformAnswer` if it holds none."""
     try:
         entry: LogEntry = decode_struct(LogEntry(), base64.b64decode(text, validate=True))
     except Exception as error:
-        raise BadPlatformAnswer(f"a row of the log cannot be read: {error}") from error
+        raise BadPlatformAnswer(
+            f"a row of the configuration log cannot be decoded: {error}"
+        ) from error
     if entry.revision is None or entry.changes is None:
-        raise BadPlatformAnswer("a row of the log is incomplete")
+        raise BadPlatformAnswer("a row of the configuration log lacks its revision or its changes")
     return entry
 
 
 class LogStore:
-    """The log as the platform keeps it.
+    """The configuration log in the platform's table and object store.
 
     Reads and writes raise `PlatformUnavailable`, `PlatformThrottled` or `WriteUnknown`, as the
-    clients below do.
+    clients that they use do.
     """
 
     def __init__(self, table: TableClient, objects: ObjectClient) -> None:
@@ -110,11 +113,11 @@
 
     @property
     def floor(self) -> Floor:
-        """The floor as last read."""
+        """The floor as of the last read or write of its row."""
         return self._floor
 
     async def read_floor(self) -> Floor:
-        """Read the floor; there is none before the first snapshot."""
+        """Read and return the floor; its row is absent before the first snapshot."""
         row = await self._table.get(FLOOR_KEY)
         if row is None:
             return self._floor
@@ -123,7 +126,7 @@
         return self._floor
 
     async def read_after(self, revision: int, limit: int = READ_LIMIT) -> ReadResult:
-        """Read the entries after a revision: one read when there are none, else two."""
+        """Return the entries after a revision; takes one read if there are none, else two."""
         rows = await self._table.scan(ROW_PREFIX, row_key(revision), limit)
         if not rows:
             return Rows([])
@@ -131,13 +134,13 @@
         floor = await self.read_floor()
         if floor.deleted > revision:
             return Truncated(floor.snapshot)
-        return Rows(list(_without_gap(revision, entries)))
+        return Rows(list(_consecutive_entries(revision, entries)))
 
     async def append(self, entry: LogEntry) -> AppendResult:
-        """Create the row of an entry unless its revision is taken.
+        """Create the row of an entry unless its revision exists already.
 
-        Safe to repeat with the same entry after `WriteUnknown`: `Taken` with the same command id
-        then means that the first attempt had taken effect.
+        Safe to repeat with the same entry after `WriteUnknown`: a `RevisionConflict` with the same
+        command id then means that the first attempt took effect.
         """
         result = await self._table.put(row_key(entry.revision), encode_entry(entry), ABSENT)
         match result:
@@ -145,24 +148,26 @@
                 return await self._confirm(entry, version)
             case Conflict(row):
                 if row is None:
-                    raise BadPlatformAnswer("the table refused a row and shows none in its place")
-                return await self._taken(decode_entry(row.value))
+                    raise BadPlatformAnswer(
+                        "the table rejected a new row as a conflict but returned no existing row"
+                    )
+                return await self._classify_conflict(decode_entry(row.value))
 
     async def newest_snapshot(self) -> Snapshot | None:
-        """Return the newest snapshot, None when none was ever taken.
+        """Return the newest snapshot, or None if no snapshot was ever taken.
 
-        Raises `PlatformError` when there should be one and it cannot be had.
+        Raises `PlatformError` if the floor names a snapshot that cannot be read.
         """
         floor = await self.read_floor()
         if floor.snapshot == 0:
             return None
         snapshot = await self.load_snapshot(floor.snapshot)
         if snapshot is None:
-            raise RowMissing(f"the snapshot of revision {floor.snapshot} is missing")
+            raise RowMissing(f"the object store lacks the snapshot of revision {floor.snapshot}")
         return snapshot
 
     async def load_snapshot(self, revision: int) -> Snapshot | None:
-        """Return the snapshot of a revision, None when the object store has none."""
+        """Return the snapshot of a revision, or None if the object store has none."""
         data = await self._objects.get(_snapshot_key(revision))
         if data is None:
             return None
@@ -170,10 +175,10 @@
         return snapshot
 
     async def save_snapshot(self, snapshot: Snapshot, keep_rows: int) -> None:
-        """Store a snapshot, raise the floor, then delete rows more than `keep_rows` older.
+        """Store a snapshot, raise the floor, then delete rows over `keep_rows` revisions older.
 
-        Any process may do it at any time: a snapshot of one revision is the same wherever it was
-        made, and the floor only rises.
+        Safe to call from any process at any time: snapshots of one revision are identical whichever
+        process made them, and the floor only rises.
         """
         revision = snapshot.revision
         await self._objects.put(_snapshot_key(revision), encode_struct(snapshot))
@@ -194,14 +199,16 @@
         try:
             floor = await self.read_floor()
         except PlatformError as error:
-            raise WriteUnknown(f"revision {entry.revision} is unconfirmed: {error}") from error
+            raise WriteUnknown(
+                f"the append of revision {entry.revision} could not be confirmed: {error}"
+            ) from error
         if floor.deleted < entry.revision:
             return Appended()
         log.warning("log_append_outdated", revision=entry.revision, deleted=floor.deleted)
         await self._table.delete(row_key(entry.revision), version)
         return Outdated()
 
-    async def _taken(self, entry: LogEntry) -> AppendResult:
+    async def _classify_conflict(self, entry: LogEntry) -> AppendResult:
         floor = await self.read_floor()
         return RevisionConflict(entry) if floor.deleted < entry.revision else Outdated()
 
@@ -223,10 +230,10 @@
     return f"{SNAPSHOT_PREFIX}{revision:0{REVISION_DIGITS}d}"
 
 
-def _without_gap(revision: int, entries: list[LogEntry]) -> list[LogEntry]:
-    following: list[LogEntry] = []
+def _consecutive_entries(revision: int, entries: list[LogEntry]) -> list[LogEntry]:
+    consecutive: list[LogEntry] = []
     for entry in entries:
-        if entry.revision != revision + len(following) + 1:
+        if entry.revision != revision + len(consecutive) + 1:
             break
-        following.append(entry)
-    return following
+        consecutive.append(entry)
+    return consecutive
--- a/src/lacewinggw/configuration/replica.py
+++ b/src/lacewinggw/configuration/replica.py
@@ -1,7 +1,8 @@
-"""The copy of the configuration that one process keeps, and how it passes news on.
+"""The configuration replica of one process, and how it forwards updates.
 
-A replica applies only rising revisions. News comes from the store, from an accepted command, or
-over a link from another process; each entry that is new here goes on to whoever subscribed here.
+A replica applies revisions only in ascending order. Updates come from the store, from an accepted
+command, or over a link from another process; the replica forwards each entry that it applies to
+its subscribers.
 """
 
 import asyncio
@@ -39,8 +40,8 @@
 class Replica:
     """One process's configuration.
 
-    `on_change` callbacks get the state and the entries just applied; the list is empty when the
-    state came whole, from a snapshot.
+    `on_change` callbacks receive the state and the entries just applied; the list is empty when
+    the state was replaced by a snapshot or the replica became ready.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -49,7 +50,7 @@
         self._metrics = metrics
         self._tail: deque[LogEntry] = deque(maxlen=TAIL_LENGTH)
         self._callbacks: list[OnChange] = []
-        self._subscribers: dict[PeerLink, None] = {}  # in the order they came
+        self._subscribers: dict[PeerLink, None] = {}  # in order of subscription
         self._catching_up: asyncio.Task[None] | None = None
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         metrics.read_gauge("configuration_revision", lambda: float(self.revision))
@@ -60,23 +61,23 @@
         return self.state.revision
 
     def on_change(self, callback: OnChange) -> None:
-        """Have `callback` called after each change."""
+        """Register `callback` to be called after each change."""
         self._callbacks.append(callback)
 
     def set_ready(self) -> None:
-        """Declare that the process has a configuration to serve by."""
+        """Mark the replica as ready: the process can serve with this configuration."""
         if not self.ready:
             self.ready = True
             log.info("configuration_ready", revision=self.revision)
             self._changed([])
 
     def close(self) -> None:
-        """Stop catching up."""
+        """Cancel a catch-up in progress."""
         if self._catching_up is not None:
             self._catching_up.cancel()
 
     def offer(self, entries: Sequence[LogEntry]) -> bool:
-        """Apply what follows on the state; return whether a gap was left before the rest."""
+        """Apply new entries up to the first gap in the revisions; return whether there was one."""
         applied: list[LogEntry] = []
         gap = False
         for entry in entries:
@@ -94,7 +95,7 @@
         return gap
 
     def adopt_snapshot(self, snapshot: Snapshot) -> bool:
-        """Take a whole state over if it is newer; return whether it was."""
+        """Replace the state by a snapshot if it is newer; return whether it was."""
         if snapshot.revision <= self.revision:
             return False
         self.state = FleetState.from_snapshot(snapshot)
@@ -118,15 +119,18 @@
         return True
 
     def catch_up_if_behind(self, link: PeerLink, revision: int) -> None:
-        """Catch up over a link whose other side is ahead."""
+        """Start to catch up over `link` if `revision`, reported by its peer, is ahead."""
         if revision <= self.revision or self._catching_up is not None:
             return
-        task = asyncio.get_running_loop().create_task(self._catch_up_soon(link, revision))
+        task = asyncio.get_running_loop().create_task(self._catch_up_after_grace(link, revision))
         self._catching_up = task
-        task.add_done_callback(self._caught_up)
+        task.add_done_callback(self._on_caught_up)
 
     async def catch_up(self, link: PeerLink) -> None:
-        """Fetch and apply all that the other side has and this one lacks."""
+        """Fetch and apply every entry that the peer has and this replica lacks.
+
+        Raises `LacewingError` when the peer does not answer.
+        """
         while True:
             reply = await link.call(FetchLog(self.revision, FETCH_LIMIT), PEER_TIMEOUT_S)
             if not isinstance(reply, LogRows):
@@ -139,7 +143,7 @@
                 return
 
     async def handle(self, exchange: Exchange) -> bool:
-        """Answer a message about the configuration; return False for any other."""
+        """Answer a message about the configuration; return False for any other message."""
         match exchange.message:
             case FetchLog(after=after, limit=limit):
                 self._require_ready()
@@ -182,8 +186,8 @@
         snapshot = await link.call(FetchSnapshot(self.revision), PEER_TIMEOUT_S)
         return isinstance(snapshot, Snapshot) and self.adopt_snapshot(snapshot)
 
-    async def _catch_up_soon(self, link: PeerLink, revision: int) -> None:
-        """Give the news itself, which mostly follows at once, a moment to arrive."""
+    async def _catch_up_after_grace(self, link: PeerLink, revision: int) -> None:
+        """Catch up after a short wait, as the update itself usually arrives within it."""
         await asyncio.sleep(UPDATE_GRACE_S)
         if self.revision >= revision or not self.ready:
             return
@@ -192,17 +196,17 @@
         except LacewingError as error:
             log.info("configuration_catch_up_failed", peer=link.remote.host, error=error)
 
-    def _caught_up(self, _: "asyncio.Task[None]") -> None:
+    def _on_caught_up(self, _: "asyncio.Task[None]") -> None:
         self._catching_up = None
 
     def _changed(self, entries: list[LogEntry]) -> None:
         commands = [entry.command_id for entry in entries]
         log.debug("configuration_applied", revision=self.revision, commands=commands)
-        waiting = [waiter for waiter in self._waiters if waiter[0] > self.revision]
+        remaining = [waiter for waiter in self._waiters if waiter[0] > self.revision]
         for revision, future in self._waiters:
             if revision <= self.revision and not future.done():
                 future.set_result(None)
-        self._waiters = waiting
+        self._waiters = remaining
         for callback in self._callbacks:
             try:
                 callback(self.state, entries)
@@ -210,15 +214,18 @@
                 log.exception("configuration_callback_failed", error=error)
 
     def _publish(self, entries: list[LogEntry]) -> None:
-        """Pass news on: small entries themselves, of large ones only that they exist."""
+        """Send subscribers the new head revision, with the entries unless they are too large.
+
+        Subscribers fetch entries that the message leaves out.
+        """
         if not self._subscribers or not self.ready:
             return
         size = sum(len(encode_struct(entry)) for entry in entries)
         update = LogNews(entries if size <= MAX_INLINE_UPDATE_BYTES else [], self.revision)
-        news_bytes = len(encode_struct(update))
+        update_bytes = len(encode_struct(update))
         for link in list(self._subscribers):
             if link.closed.is_set():
                 del self._subscribers[link]
                 continue
             link.notify(update)
-            self._metrics.count("configuration_news_sent_bytes", news_bytes)
+            self._metrics.count("configuration_news_sent_bytes", update_bytes)
--- a/src/lacewinggw/configuration/upstreams.py
+++ b/src/lacewinggw/configuration/upstreams.py
@@ -1,7 +1,7 @@
-"""The few processes that this one hears configuration news from.
+"""The upstreams: the few processes from which this one receives configuration updates.
 
-Each is subscribed to over a kept link and asked in turn for what was missed. One that does not
-answer is left for the next candidate for a while.
+This process subscribes to each upstream over a persistent link and polls them in turn for missed
+updates. An upstream that does not answer is replaced by the next candidate for `AVOIDANCE_S`.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 class Upstreams:
     """Subscriptions to the first `count` candidates that answer.
 
-    `candidates` returns addresses, the preferred first, and may change over time.
+    `candidates` returns addresses in order of preference; its result may change over time.
     """
 
     def __init__(
@@ -43,29 +43,35 @@
         self._metrics = metrics
         self._links: dict[Address, PeerLink] = {}
         self._avoided: dict[Address, float] = {}
-        self._turn = 0
+        self._poll_count = 0
         self._confirmed_at = float("-inf")
 
     @property
     def confirmed_at(self) -> float:
-        """When one last answered and this process had all that it has, in the loop's time."""
+        """When the last poll that an upstream answered was sent, in the loop's time in seconds.
+
+        This process then had all that the upstream had. Minus infinity before the first such poll.
+        """
         return self._confirmed_at
 
     async def maintain(self) -> bool:
-        """Keep the subscriptions up and ask one for what was missed; return whether it answered."""
+        """Renew the subscriptions and poll one upstream for missed updates.
+
+        Returns whether it answered.
+        """
         self._drop_closed()
-        for address in self._wanted():
+        for address in self._select_upstreams():
             if address not in self._links:
                 await self._subscribe(address)
-        return await self._ask_one()
+        return await self._poll_next()
 
-    def _wanted(self) -> list[Address]:
+    def _select_upstreams(self) -> list[Address]:
         now = asyncio.get_running_loop().time()
         usable = [each for each in self._candidates() if self._avoided.get(each, 0.0) <= now]
-        wanted = usable[: self._count]
-        for address in [each for each in self._links if each not in wanted]:
+        selected = usable[: self._count]
+        for address in [each for each in self._links if each not in selected]:
             del self._links[address]
-        return wanted
+        return selected
 
     def _drop_closed(self) -> None:
         for address, link in list(self._links.items()):
@@ -93,18 +99,18 @@
             return
         self._links[address] = link
 
-    async def _ask_one(self) -> bool:
+    async def _poll_next(self) -> bool:
         if not self._links:
             return False
-        self._turn += 1
-        asked_at = asyncio.get_running_loop().time()
+        self._poll_count += 1
+        polled_at = asyncio.get_running_loop().time()
         addresses = list(self._links)
-        address = addresses[self._turn % len(addresses)]
+        address = addresses[self._poll_count % len(addresses)]
         try:
             await self._replica.catch_up(self._links[address])
         except LacewingError as error:
             log.info("configuration_upstream_lost", address=address, error=error)
             self._avoid(address)
             return False
-        self._confirmed_at = asked_at
+        self._confirmed_at = polled_at
         return True
