--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -11,9 +11,9 @@
 from lacewinggw.agent.topologies import DueRelease
 from lacewinggw.agent.weights import Spreader
 from lacewinggw.clients.engine import EngineClient
-from lacewinggw.clients.group import PlatformClients
 from lacewinggw.clients.membership import Member, MemberState
 from lacewinggw.clients.plain import PlainClient
+from lacewinggw.clients.platform import PlatformClients
 from lacewinggw.clients.watch import MemberList, MemberWatch
 from lacewinggw.configuration.candidates import entry_candidates
 from lacewinggw.decisions.lifecycle import DesiredState
--- a/src/lacewinggw/agent/reconciler.py
+++ b/src/lacewinggw/agent/reconciler.py
@@ -154,7 +154,7 @@
         chunk_count = self._spreader.chunk_count(digest)
         staged = self._staged.setdefault(digest, set())
         if chunk_count and len(staged) == chunk_count:
-            staged &= set(await self._engine.staged(digest))
+            staged &= set(await self._engine.staged_chunks(digest))
         return StagingProgress(len(self._spreader.held(digest)), len(staged), chunk_count)
 
     async def _accepts_connections(self) -> bool:
--- a/src/lacewinggw/clients/calls.py
+++ b/src/lacewinggw/clients/calls.py
@@ -30,14 +30,14 @@
 )
 
 MS_PER_S = 1000
-THROTTLED = 429
-UNAVAILABLE = 503
-SERVER_ERRORS = 500
+TOO_MANY_REQUESTS = 429
+SERVICE_UNAVAILABLE = 503
+MIN_SERVER_ERROR = 500
 # Until a connection that does not open is begun anew. A service whose queue of new connections is
 # full drops opening packets, as when a whole fleet starts at once, and a kernel sends the next one
 # after a second. The last attempt has the rest of the time, for a link that is slow.
-CONNECT_S = (0.15, 0.25)
-LEAST_CONNECT_S = 0.05
+CONNECT_ATTEMPTS_S = (0.15, 0.25)
+MIN_CONNECT_S = 0.05
 CONNECT_JITTER = 0.5  # either way, so that those that were dropped together do not meet again
 
 Query = dict[str, str]
@@ -61,10 +61,10 @@
 def check_status(response: Response, service: str) -> Response:
     """Return a response that is no refusal; raise the error for one that is."""
     match response.status:
-        case status if status == THROTTLED:
+        case status if status == TOO_MANY_REQUESTS:
             reason = f"the {service} is over its rate"
             raise PlatformThrottled(reason, retry_after_ms=retry_after_ms(response))
-        case status if status == UNAVAILABLE:
+        case status if status == SERVICE_UNAVAILABLE:
             reason = f"the {service} is out of service"
             raise PlatformUnavailable(reason, retry_after_ms=retry_after_ms(response))
     return response
@@ -118,7 +118,7 @@
             response = await self._request("GET", target, headers, b"", limit_s, pause_s or limit_s)
         except (OSError, TimeoutError, HttpError) as error:
             raise self._unavailable(error) from error
-        if response.status >= SERVER_ERRORS and response.status != UNAVAILABLE:
+        if response.status >= MIN_SERVER_ERROR and response.status != SERVICE_UNAVAILABLE:
             raise PlatformUnavailable(f"the {self._service} answered {response.status}")
         return check_status(response, self._service)
 
@@ -138,7 +138,7 @@
         except (OSError, TimeoutError, HttpError) as error:
             reason = f"the {self._service} gave no reply to a write: {_describe(error)}"
             raise WriteUnknown(reason) from error
-        if response.status >= SERVER_ERRORS and response.status != UNAVAILABLE:
+        if response.status >= MIN_SERVER_ERROR and response.status != SERVICE_UNAVAILABLE:
             raise WriteUnknown(f"the {self._service} answered a write with {response.status}")
         return check_status(response, self._service)
 
@@ -153,7 +153,7 @@
     ) -> Response:
         """Make a request, on another connection where the first ones do not open soon."""
         connect_until = asyncio.get_running_loop().time() + timeout_s * CONNECT_SHARE
-        for attempt_s in CONNECT_S:
+        for attempt_s in CONNECT_ATTEMPTS_S:
             left_s = connect_until - asyncio.get_running_loop().time()
             connect_s = attempt_s * random.uniform(1.0 - CONNECT_JITTER, 1.0 + CONNECT_JITTER)
             if connect_s >= left_s:
@@ -165,12 +165,12 @@
             except NotConnectedError as error:
                 if not error.is_silent:
                     raise
-        left_s = max(LEAST_CONNECT_S, connect_until - asyncio.get_running_loop().time())
+        left_s = max(MIN_CONNECT_S, connect_until - asyncio.get_running_loop().time())
         return await self._http.request(
             self._address, method, target, headers, body, timeout_s, pause_s, left_s
         )
 
-    def unexpected(self, response: Response) -> PlatformError:
+    def unexpected_status(self, response: Response) -> PlatformError:
         """Return the error for a status that the call has no use for."""
         return BadPlatformAnswer(f"the {self._service} answered {response.status}")
 
--- a/src/lacewinggw/clients/engine.py
+++ b/src/lacewinggw/clients/engine.py
@@ -21,11 +21,11 @@
     PRIORITY_HEADER,
     REQUEST_ID_HEADER,
     RESUME_HEADER,
-    bad_request,
-    describe,
+    bad_request_error,
+    describe_error,
     lost_before_answer,
     lost_within_answer,
-    refusal,
+    refusal_error,
 )
 from lacewinggw.errors import (
     AnswerIncomplete,
@@ -61,7 +61,7 @@
     "RoleOrder",
     "RunCount",
     "UnloadOrder",
-    "WholeAnswer",
+    "EngineAnswer",
 ]
 
 SERVICE = "engine"
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
+class EngineAnswer:
     """An answer that was not streamed."""
 
     content_type: str
@@ -169,7 +169,7 @@
         """Hand the engine one chunk, to be loaded later."""
         await self._order_call("PUT", f"/staging/{digest}/chunks/{index}", data, ORDER_TIMEOUT_S)
 
-    async def staged(self, digest: Digest) -> dict[int, str]:
+    async def staged_chunks(self, digest: Digest) -> dict[int, str]:
         """Return the hashes of the chunks staged for a digest, by index."""
         response = await self._order_call("GET", f"/staging/{digest}")
         return decode_json(response, SERVICE, _decode_staged)
@@ -183,7 +183,7 @@
         """Return what the engine says of itself now."""
         return decode_json(await self._order_call("GET", "/state"), SERVICE, _decode_state)
 
-    async def ran(self, request_id: RequestId) -> RunCount:
+    async def run_count(self, request_id: RequestId) -> RunCount:
         """Return whether and how often a request ran."""
         response = await self._order_call("GET", f"/ran/{request_id}")
         return decode_json(response, SERVICE, lambda value: RunCount(**value))
@@ -226,7 +226,7 @@
         finally:
             await response.aclose()
 
-    async def answer(self, generation: Generation, timeout_s: float) -> WholeAnswer:
+    async def answer(self, generation: Generation, timeout_s: float) -> EngineAnswer:
         """Return the answer whole, within `timeout_s` seconds."""
         headers = generation.to_headers(JSON_TYPE)
         try:
@@ -241,7 +241,7 @@
         except BadPlatformAnswer as error:
             raise AnswerIncomplete(error.reason) from error
         content_type = response.headers.get("content-type", JSON_TYPE)
-        return WholeAnswer(content_type, response.content, weights)
+        return EngineAnswer(content_type, response.content, weights)
 
     async def _order_call(
         self,
@@ -258,7 +258,7 @@
                 self._address, method, target, None, body, timeout_s
             )
         except (OSError, TimeoutError, HttpError) as error:
-            raise TargetUnreachable(f"the engine gave no reply: {describe(error)}") from error
+            raise TargetUnreachable(f"the engine gave no reply: {describe_error(error)}") from error
         if response.status not in accepted:
             raise _order_error(response)
         return response
@@ -279,11 +279,11 @@
 
 
 def _check_answer_status(status: int, headers: Headers, content: bytes) -> None:
-    refused = refusal(status, headers)
+    refused = refusal_error(status, headers)
     if refused is not None:
         raise refused
     if 400 <= status < 500:
-        raise bad_request(status, content)
+        raise bad_request_error(status, content)
     if status != 200:
         raise AnswerIncomplete(f"the engine answered {status}")
 
--- a/src/lacewinggw/clients/membership.py
+++ b/src/lacewinggw/clients/membership.py
@@ -106,7 +106,7 @@
                 members = decode_json(response, SERVICE, _decode_members)
                 self._tag = response.headers.get("etag", "")
                 return members
-        raise self._calls.unexpected(response)
+        raise self._calls.unexpected_status(response)
 
 
 def _decode_members(value: dict[str, Any]) -> list[Member]:
--- a/src/lacewinggw/clients/objects.py
+++ b/src/lacewinggw/clients/objects.py
@@ -39,7 +39,7 @@
                 return response.content
             case 404:
                 return None
-        raise self._calls.unexpected(response)
+        raise self._calls.unexpected_status(response)
 
     async def put(self, key: str, data: bytes) -> None:
         """Store an object, replacing one of the same key."""
@@ -53,10 +53,10 @@
         """Return the keys that have the prefix, in order."""
         response = await self._calls.read("/objects", {"prefix": prefix})
         if response.status != 200:
-            raise self._calls.unexpected(response)
+            raise self._calls.unexpected_status(response)
         return decode_json(response, SERVICE, lambda value: [str(key) for key in value["keys"]])
 
     async def _change(self, method: str, key: str, data: bytes | None = None) -> None:
         response = await self._calls.write(method, f"/objects/{key}", data)
         if response.status != 200:
-            raise self._calls.unexpected(response)
+            raise self._calls.unexpected_status(response)
--- a/src/lacewinggw/clients/pieces.py
+++ b/src/lacewinggw/clients/pieces.py
@@ -31,7 +31,7 @@
 
 
 async def read_pieces(
-    response: StreamedResponse, upcoming: int
+    response: StreamedResponse, next_index: int
 ) -> AsyncIterator[PieceBatch | AnswerEnd]:
     """Yield batches of pieces and the end, the first piece being number `upcoming`.
 
@@ -44,13 +44,13 @@
             raise AnswerIncomplete(f"an event of the engine is over {EVENT_LIMIT_BYTES} bytes")
         batch, end = _decode_batch(events)
         if batch is not None:
-            if batch.first != upcoming:
-                raise AnswerIncomplete(f"piece {batch.first} came where {upcoming} was due")
-            upcoming = batch.first + len(batch.pieces)
+            if batch.first != next_index:
+                raise AnswerIncomplete(f"piece {batch.first} came where {next_index} was due")
+            next_index = batch.first + len(batch.pieces)
             yield batch
         if end is not None:
-            if end.pieces != upcoming:
-                raise AnswerIncomplete(f"{end.pieces} pieces were told, {upcoming} came")
+            if end.pieces != next_index:
+                raise AnswerIncomplete(f"{end.pieces} pieces were told, {next_index} came")
             yield end
             return
     raise AnswerIncomplete("the engine's stream has no final event")
--- a/src/lacewinggw/clients/plain.py
+++ b/src/lacewinggw/clients/plain.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 
 from lacewinggw.clients.targets import (
-    KEY_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
     REQUEST_ID_HEADER,
     lost_before_answer,
-    refusal,
+    refusal_error,
 )
 from lacewinggw.ids import RequestId
 from lacewinggw.wire.http import JSON_TYPE, HttpClient, HttpError
@@ -21,7 +21,7 @@
     path: str
     body: bytes = b""
     method: str = "POST"
-    key: str = ""
+    idempotency_key: str = ""
     content_type: str = JSON_TYPE
 
 
@@ -55,15 +55,15 @@
     async def call(self, call: PlainCall, timeout_s: float) -> PlainAnswer:
         """Make a call, once, and return its answer whole."""
         headers = {REQUEST_ID_HEADER: call.request_id, "content-type": call.content_type}
-        if call.key:
-            headers[KEY_HEADER] = call.key
+        if call.idempotency_key:
+            headers[IDEMPOTENCY_KEY_HEADER] = call.idempotency_key
         try:
             response = await self._http.request(
                 self._address, call.method, call.path, headers, call.body, timeout_s
             )
         except (OSError, TimeoutError, HttpError) as error:
             raise lost_before_answer(error) from error
-        refused = refusal(response.status, response.headers)
+        refused = refusal_error(response.status, response.headers)
         if refused is not None:
             raise refused
         content_type = response.headers.get("content-type", "application/octet-stream")
--- a/src/lacewinggw/clients/table.py
+++ b/src/lacewinggw/clients/table.py
@@ -11,7 +11,7 @@
 
 ABSENT = 0
 SERVICE = "table service"
-FOUND = (200, 409)
+WRITE_RESULT_STATUSES = (200, 409)
 
 
 @dataclass(frozen=True)
@@ -84,14 +84,14 @@
                 return decode_json(response, SERVICE, _decode_row)
             case 404:
                 return None
-        raise self._calls.unexpected(response)
+        raise self._calls.unexpected_status(response)
 
     async def scan(self, prefix: str, after: str = "", limit: int = 100) -> list[Row]:
         """Return up to `limit` rows whose keys have the prefix and sort after `after`, in order."""
         query = {"prefix": prefix, "after": after, "limit": str(limit)}
         response = await self._calls.read("/rows", query)
         if response.status != 200:
-            raise self._calls.unexpected(response)
+            raise self._calls.unexpected_status(response)
         return decode_json(response, SERVICE, _decode_rows)
 
     async def put(self, key: str, value: str, if_version: int | None = None) -> PutResult:
@@ -114,12 +114,12 @@
         asked = [{"key": put.key, "value": put.value, "if_version": put.if_version} for put in puts]
         response = await self._calls.write("POST", "/batch", asked)
         if response.status != 200:
-            raise self._calls.unexpected(response)
+            raise self._calls.unexpected_status(response)
         return decode_json(response, SERVICE, lambda value: list(map(_result, value["results"])))
 
     def _decode_write(self, response: Response) -> PutResult:
-        if response.status not in FOUND:
-            raise self._calls.unexpected(response)
+        if response.status not in WRITE_RESULT_STATUSES:
+            raise self._calls.unexpected_status(response)
         return decode_json(response, SERVICE, _result)
 
 
--- a/src/lacewinggw/clients/watch.py
+++ b/src/lacewinggw/clients/watch.py
@@ -10,12 +10,12 @@
 from lacewinggw.generated.settings.ttypes import Settings
 from lacewinggw.log import get_logger
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 FIRST_POLL_S = 1.0
-JITTER = 0.2
+POLL_JITTER = 0.2
 
 MemberList = tuple[Member, ...]
-OnMembers = Callable[[MemberList], None]
+MembersCallback = Callable[[MemberList], None]
 
 log = get_logger(__name__)
 
@@ -34,7 +34,7 @@
         self._poll_s = poll_s
         self._rng = rng
         self._members: MemberList = ()
-        self._callbacks: list[OnMembers] = []
+        self._callbacks: list[MembersCallback] = []
         self._loop = Background("membership", self._run)
         self._failing = False
 
@@ -46,14 +46,14 @@
 
         There are many agents to an entry, and all their polls are reads of the platform.
         """
-        return cls(client, poll_ms / MILLISECONDS, random.Random(settings.process.host))
+        return cls(client, poll_ms / MS_PER_S, random.Random(settings.process.host))
 
     @property
     def members(self) -> MemberList:
         """The last list read."""
         return self._members
 
-    def on_change(self, callback: OnMembers) -> None:
+    def on_change(self, callback: MembersCallback) -> None:
         """Call `callback` with each new list."""
         self._callbacks.append(callback)
 
@@ -73,7 +73,7 @@
     def _pause_s(self) -> float:
         """Return the time to the next poll, so that hosts started together do not poll together."""
         pause_s = self._poll_s if self.ready.is_set() else min(self._poll_s, FIRST_POLL_S)
-        return pause_s * self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
+        return pause_s * self._rng.uniform(1.0 - POLL_JITTER, 1.0 + POLL_JITTER)
 
     async def _poll(self) -> None:
         try:
@@ -86,9 +86,9 @@
         self._failing = False
         if isinstance(listed, Unchanged):
             return
-        self._take(listed)
+        self._publish(listed)
 
-    def _take(self, listed: Sequence[Member]) -> None:
+    def _publish(self, listed: Sequence[Member]) -> None:
         self._members = tuple(listed)
         self.ready.set()
         for callback in self._callbacks:
--- a/src/lacewinggw/clients/weights.py
+++ b/src/lacewinggw/clients/weights.py
@@ -16,8 +16,8 @@
 ORIGIN = "origin"
 WEIGHT_STORE = "weight store"
 CHUNK_LIMIT_BYTES = 256 << 20
-STALL_S = 2.0
-FLOOR_BYTES_PER_S = 4096
+STALL_WINDOW_S = 2.0
+MIN_BYTES_PER_S = 4096
 
 
 def release_digest(chunk_hashes: Iterable[bytes]) -> Digest:
@@ -25,25 +25,25 @@
     return Digest(hashlib.sha256(b"".join(chunk_hashes)).hexdigest())
 
 
-class ProgressFloor:
+class TransferRateMonitor:
     """Notice a transfer that stands still, or crawls.
 
     Over each `stall_s` seconds at least `floor_bytes_per_s` must come in.
     """
 
-    def __init__(self, started_at: float, stall_s: float, floor_bytes_per_s: int) -> None:
-        self._since = started_at
+    def __init__(self, started_at: float, stall_s: float, min_bytes_per_s: int) -> None:
+        self._window_start = started_at
         self._stall_s = stall_s
-        self._floor_bytes = floor_bytes_per_s * stall_s
+        self._min_window_bytes = min_bytes_per_s * stall_s
         self._received = 0
 
-    def is_below(self, now: float, received: int) -> bool:
+    def is_too_slow(self, now: float, received: int) -> bool:
         """Count bytes as they come, and tell whether the window now ending had too few."""
         self._received += received
-        if now - self._since < self._stall_s:
+        if now - self._window_start < self._stall_s:
             return False
-        below = self._received < self._floor_bytes
-        self._since, self._received = now, 0
+        below = self._received < self._min_window_bytes
+        self._window_start, self._received = now, 0
         return below
 
 
@@ -61,26 +61,26 @@
         address: str,
         service: str,
         timeout_s: float,
-        stall_s: float = STALL_S,
-        floor_bytes_per_s: int = FLOOR_BYTES_PER_S,
+        stall_s: float = STALL_WINDOW_S,
+        min_bytes_per_s: int = MIN_BYTES_PER_S,
     ) -> None:
         self._http = HttpClient(network)
         self._address = address
         self._service = service
         self._calls = ServiceCalls(self._http, address, service, timeout_s)
         self._stall_s = stall_s
-        self._floor_bytes_per_s = floor_bytes_per_s
+        self._min_bytes_per_s = min_bytes_per_s
 
     @classmethod
     def for_origin(
-        cls, network: Network, settings: PlatformSettings, stall_s: float = STALL_S
+        cls, network: Network, settings: PlatformSettings, stall_s: float = STALL_WINDOW_S
     ) -> "WeightsClient":
         """Return the client of the origin that the settings name."""
         return cls(network, settings.origin, ORIGIN, settings.timeout_ms / MS_PER_S, stall_s)
 
     @classmethod
     def for_weight_store(
-        cls, network: Network, settings: PlatformSettings, stall_s: float = STALL_S
+        cls, network: Network, settings: PlatformSettings, stall_s: float = STALL_WINDOW_S
     ) -> "WeightsClient":
         """Return the client of the weight store that the settings name."""
         timeout_s = settings.timeout_ms / MS_PER_S
@@ -130,13 +130,13 @@
 
     async def _receive_body(self, response: StreamedResponse) -> bytes:
         loop = asyncio.get_running_loop()
-        floor = ProgressFloor(loop.time(), self._stall_s, self._floor_bytes_per_s)
+        floor = TransferRateMonitor(loop.time(), self._stall_s, self._min_bytes_per_s)
         received = bytearray()
         async for piece in response.pieces():
             received += piece
             if len(received) > CHUNK_LIMIT_BYTES:
                 raise HttpError(413, f"the chunk is over {CHUNK_LIMIT_BYTES} bytes")
-            if floor.is_below(loop.time(), len(piece)):
+            if floor.is_too_slow(loop.time(), len(piece)):
                 raise TimeoutError
         return bytes(received)
 
@@ -145,13 +145,13 @@
         if response.status == 404:
             raise UnknownDigest(f"the {self._service} does not have chunk {chunk_hash}")
         if response.status != 200:
-            raise self._calls.unexpected(response)
+            raise self._calls.unexpected_status(response)
 
     def _decode_manifest(self, response: Response, wanted: str) -> Manifest:
         if response.status == 404:
             raise UnknownDigest(f"the {self._service} has no manifest for {wanted}")
         if response.status != 200:
-            raise self._calls.unexpected(response)
+            raise self._calls.unexpected_status(response)
         manifest = decode_json(response, self._service, _decode_manifest)
         if release_digest(manifest.chunk_hashes) != manifest.digest:
             raise ManifestMismatch(f"the manifest for {wanted} does not match its own digest")
--- a/src/lacewinggw/entry/process.py
+++ b/src/lacewinggw/entry/process.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Sequence
 
-from lacewinggw.clients.group import PlatformClients
+from lacewinggw.clients.platform import PlatformClients
 from lacewinggw.clients.watch import MemberList, MemberWatch
 from lacewinggw.configuration.candidates import entry_candidates
 from lacewinggw.decisions.hostfailures import HeartbeatTimes
--- a/src/lacewinggw/lab/plain.py
+++ b/src/lacewinggw/lab/plain.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lacewinggw.clients.targets import KEY_HEADER, REQUEST_ID_HEADER
+from lacewinggw.clients.targets import IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER
 from lacewinggw.lab.runs import RunRecords, TargetRun, mark_of, text_digest
 from lacewinggw.lab.standin import LOOPBACK, Faults, StandIn, refused
 from lacewinggw.wire.http import Request, Response, json_response
@@ -65,7 +65,7 @@
     async def _run(self, request: Request) -> Response:
         request_id = request.headers.get(REQUEST_ID_HEADER, "")
         mark = mark_of(request.body, request_id)
-        key = request.headers.get(KEY_HEADER, "")
+        key = request.headers.get(IDEMPOTENCY_KEY_HEADER, "")
         run = self.records.begin(request_id, mark, key=key, path=request.path)
         await asyncio.sleep(self.faults.latency_s)
         if self.happens(self.faults.fail_share):
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -140,7 +140,7 @@
         assert (rest, end.pieces) == (pieces[5:], 8)
         whole_content = hashlib.sha256(b"".join(pieces)).hexdigest()
         assert [run.content_digest for run in target.standin.runs] == [whole_content] * 2
-        assert (await target.client.ran(RequestId("r1"))).started == 2
+        assert (await target.client.run_count(RequestId("r1"))).started == 2
         whole = await target.client.answer(generation("r2"), TIMEOUT_S)
         assert whole.weights == DIGEST and json.loads(whole.body)["pieces"] == 8
 
@@ -159,7 +159,7 @@
         target.standin.faults.lose_next = 1
         with pytest.raises(TargetFailed):
             await target.client.answer(generation("r2"), TIMEOUT_S)
-        assert (await target.client.ran(RequestId("r2"))).finished == 1
+        assert (await target.client.run_count(RequestId("r2"))).finished == 1
         await target.standin.close()
         with pytest.raises(TargetRefused):
             await collect(target.client, generation("r3"))
@@ -251,7 +251,7 @@
     service = PlainStandIn(network)
     await service.start()
     client = PlainClient(network, service.address)
-    call = PlainCall(RequestId("r1"), "/notices", b"{}", key="k1")
+    call = PlainCall(RequestId("r1"), "/notices", b"{}", idempotency_key="k1")
     answer = await client.call(call, TIMEOUT_S)
     assert (answer.status, json.loads(answer.body)["mark"]) == (200, "r1")
     service.faults.lose_next = 1
@@ -303,10 +303,10 @@
     async with engine() as target:
         await target.load(CHUNKS)
         await collect(target.client, generation())
-        before = await target.client.ran(RequestId("r1"))
+        before = await target.client.run_count(RequestId("r1"))
         await target.standin.close()
         await target.standin.start()
-        after = await target.client.ran(RequestId("r1"))
+        after = await target.client.run_count(RequestId("r1"))
         assert (before.started, after.started) == (1, 0)
         assert before.boot != after.boot == (await target.client.state()).boot
         assert (await target.client.state()).active == ""
