--- a/src/lacewinggw/clients/calls.py
+++ b/src/lacewinggw/clients/calls.py
@@ -1,8 +1,8 @@
-"""One call to a service of the platform, with its failures told apart.
+"""Requests to the platform's services, with failures classified.
 
-What matters of a failed write is whether it may have taken effect: one with no connection, or a
-refusal by status is `PlatformUnavailable` or `PlatformThrottled`, and certainly did not; anything
-else after the request was sent is `WriteUnknown`.
+Errors of a write say whether it may have taken effect. A failure to connect or a refusal by status
+raises `PlatformUnavailable` or `PlatformThrottled`: the write had no effect. Any other failure
+after the request was sent raises `WriteUnknown`.
 """
 
 import asyncio
@@ -33,25 +33,25 @@
 TOO_MANY_REQUESTS = 429
 SERVICE_UNAVAILABLE = 503
 MIN_SERVER_ERROR = 500
-# Until a connection that does not open is begun anew. A service whose queue of new connections is
-# full drops opening packets, as when a whole fleet starts at once, and a kernel sends the next one
-# after a second. The last attempt has the rest of the time, for a link that is slow.
+# Timeouts of the first connection attempts. A service whose accept queue is full, such as when a
+# whole fleet starts at once, drops SYN packets, and the kernel resends one only after 1 s. The last
+# attempt gets the remaining connect time, for slow links.
 CONNECT_ATTEMPTS_S = (0.15, 0.25)
 MIN_CONNECT_S = 0.05
-CONNECT_JITTER = 0.5  # either way, so that those that were dropped together do not meet again
+CONNECT_JITTER = 0.5  # plus or minus, so that hosts dropped together retry at different times
 
 Query = dict[str, str]
 T = TypeVar("T")
 
 
 def join_path(path: str, query: Query | None = None) -> str:
-    """Return a request target, quoted, with its query."""
+    """Return a percent-encoded request target with its query string."""
     quoted = quote(path)
     return f"{quoted}?{urlencode(query)}" if query else quoted
 
 
 def retry_after_ms(response: Response) -> int:
-    """Return how long the other side asks to wait, in milliseconds; 0 when it does not say."""
+    """Return the response's Retry-After in milliseconds, 0 if it is missing or not a number."""
     try:
         return int(float(response.headers.get("retry-after", "0")) * MS_PER_S)
     except ValueError:
@@ -59,31 +59,33 @@
 
 
 def check_status(response: Response, service: str) -> Response:
-    """Return a response that is no refusal; raise the error for one that is."""
+    """Return the response unless its status is a refusal.
+
+    Raises `PlatformThrottled` for 429 and `PlatformUnavailable` for 503.
+    """
     match response.status:
         case status if status == TOO_MANY_REQUESTS:
-            reason = f"the {service} is over its rate"
+            reason = f"the {service} is over its rate limit"
             raise PlatformThrottled(reason, retry_after_ms=retry_after_ms(response))
         case status if status == SERVICE_UNAVAILABLE:
-            reason = f"the {service} is out of service"
+            reason = f"the {service} is unavailable"
             raise PlatformUnavailable(reason, retry_after_ms=retry_after_ms(response))
     return response
 
 
 def decode_json(response: Response, service: str, build: Callable[[Any], T]) -> T:
-    """Return what `build` makes of the JSON body; raise `BadPlatformAnswer` when it cannot."""
+    """Return `build` of the parsed JSON body; raise `BadPlatformAnswer` if it is malformed."""
     try:
         return build(json.loads(response.content))
     except (ValueError, KeyError, TypeError) as error:
-        raise BadPlatformAnswer(
-            f"the {service} answered what is not understood: {error!r}"
-        ) from None
+        raise BadPlatformAnswer(f"the {service} sent a malformed response: {error!r}") from None
 
 
 class ServiceCalls:
-    """Calls to one address, each with a time limit in seconds for a silence of the other side.
+    """Sends requests to one service address.
 
-    Owns no connection: the `HttpClient` belongs to the client that made it.
+    `timeout_s` limits a write as a whole. In a read it limits the wait for the response to begin
+    and each pause in it. The client that made the `HttpClient` owns its connections.
     """
 
     def __init__(self, http: HttpClient, address: str, service: str, timeout_s: float) -> None:
@@ -94,7 +96,7 @@
 
     @property
     def service(self) -> str:
-        """The service's name in messages."""
+        """The service's name in error messages."""
         return self._service
 
     async def read(
@@ -105,12 +107,14 @@
         timeout_s: float | None = None,
         pause_s: float | None = None,
     ) -> Response:
-        """Get; raise `PlatformUnavailable` or `PlatformThrottled` for whatever fails.
-
-        The answer has to begin within the time limit, and may then take as long as it keeps coming,
-        with no pause longer than `pause_s`, or the limit: one that is cut off and begun anew would
-        never end over a link without much room. `timeout_s` replaces the usual limit, for a call
-        that waits at the other side.
+        """Send a GET request and return its response, which may have another status than 200.
+
+        Raises `PlatformUnavailable` or `PlatformThrottled` if the request fails, is refused, or is
+        answered with a server error. The response must begin within the time limit. It may then
+        continue while data keeps arriving, up to the HTTP client's limit for long responses, with
+        no pause longer than `pause_s`, or the time limit by default: a large response that is cut
+        off and restarted would never complete over a slow link. `timeout_s` replaces the default
+        limit, for requests that the service holds open.
         """
         target = join_path(path, query)
         limit_s = self._timeout_s if timeout_s is None else timeout_s
@@ -119,15 +123,16 @@
         except (OSError, TimeoutError, HttpError) as error:
             raise self._unavailable(error) from error
         if response.status >= MIN_SERVER_ERROR and response.status != SERVICE_UNAVAILABLE:
-            raise PlatformUnavailable(f"the {self._service} answered {response.status}")
+            raise PlatformUnavailable(f"the {self._service} answered with status {response.status}")
         return check_status(response, self._service)
 
     async def write(
         self, method: str, path: str, body: Any = None, query: Query | None = None
     ) -> Response:
-        """Change something; raise `WriteUnknown` when it may have taken effect unseen.
+        """Send a write; raise `WriteUnknown` if it may have taken effect although it failed.
 
-        A body of bytes goes as it is, any other as JSON.
+        Raises `PlatformUnavailable` or `PlatformThrottled` if it had no effect. A body of bytes is
+        sent unchanged, any other as JSON.
         """
         data, headers = _encode_body(body)
         target = join_path(path, query)
@@ -139,7 +144,9 @@
             reason = f"the {self._service} gave no reply to a write: {_describe(error)}"
             raise WriteUnknown(reason) from error
         if response.status >= MIN_SERVER_ERROR and response.status != SERVICE_UNAVAILABLE:
-            raise WriteUnknown(f"the {self._service} answered a write with {response.status}")
+            raise WriteUnknown(
+                f"the {self._service} answered a write with status {response.status}"
+            )
         return check_status(response, self._service)
 
     async def _request(
@@ -151,12 +158,12 @@
         timeout_s: float,
         pause_s: float | None = None,
     ) -> Response:
-        """Make a request, on another connection where the first ones do not open soon."""
-        connect_until = asyncio.get_running_loop().time() + timeout_s * CONNECT_SHARE
+        """Send a request, retrying with a new connection while connecting times out."""
+        connect_deadline = asyncio.get_running_loop().time() + timeout_s * CONNECT_SHARE
         for attempt_s in CONNECT_ATTEMPTS_S:
-            left_s = connect_until - asyncio.get_running_loop().time()
+            remaining_s = connect_deadline - asyncio.get_running_loop().time()
             connect_s = attempt_s * random.uniform(1.0 - CONNECT_JITTER, 1.0 + CONNECT_JITTER)
-            if connect_s >= left_s:
+            if connect_s >= remaining_s:
                 break
             try:
                 return await self._http.request(
@@ -165,14 +172,16 @@
             except NotConnectedError as error:
                 if not error.is_silent:
                     raise
-        left_s = max(MIN_CONNECT_S, connect_until - asyncio.get_running_loop().time())
+        remaining_s = max(MIN_CONNECT_S, connect_deadline - asyncio.get_running_loop().time())
         return await self._http.request(
-            self._address, method, target, headers, body, timeout_s, pause_s, left_s
+            self._address, method, target, headers, body, timeout_s, pause_s, remaining_s
         )
 
     def unexpected_status(self, response: Response) -> PlatformError:
-        """Return the error for a status that the call has no use for."""
-        return BadPlatformAnswer(f"the {self._service} answered {response.status}")
+        """Return the error for a status that the caller doesn't handle."""
+        return BadPlatformAnswer(
+            f"the {self._service} answered with unexpected status {response.status}"
+        )
 
     def _unavailable(self, error: Exception) -> PlatformUnavailable:
         return PlatformUnavailable(f"the {self._service} cannot be reached: {_describe(error)}")
--- a/src/lacewinggw/clients/engine.py
+++ b/src/lacewinggw/clients/engine.py
@@ -73,10 +73,10 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """What the engine says of itself.
+    """The state that the engine reports.
 
-    `active` and `loaded` are computed by the engine over the chunks that it holds, whatever it was
-    told they are. The load is as it was `load_age_ms` ago.
+    The engine computes the digests `active` and `loaded` from the chunks that it holds, not from
+    the digests named in orders. The load is `load_age_ms` old.
     """
 
     active: Digest
@@ -93,9 +93,10 @@
 
 @dataclass(frozen=True)
 class Generation:
-    """One request to a model: the caller's body as it came, and how to run it.
+    """One request to a model: the caller's unchanged body, and how to run it.
 
-    `priority` sorts requests that wait, lowest first; pieces before `resume_from` are not sent.
+    Queued requests run in order of `priority`, lowest first. The engine doesn't send pieces before
+    index `resume_from`.
     """
 
     request_id: RequestId
@@ -104,7 +105,7 @@
     resume_from: int = 0
 
     def to_headers(self, accept: str) -> Headers:
-        """Return the headers that the engine reads."""
+        """Return the request headers, with `accept` as the accepted content type."""
         return {
             REQUEST_ID_HEADER: self.request_id,
             PRIORITY_HEADER: str(self.priority),
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True)
 class EngineAnswer:
-    """An answer that was not streamed."""
+    """A complete answer, sent as one body instead of a stream."""
 
     content_type: str
     body: bytes
@@ -125,9 +126,9 @@
 
 @dataclass(frozen=True)
 class RunCount:
-    """How often a request was started and came to its end, since the start named by `boot`.
+    """How often the engine started and finished a request since it booted as `boot`.
 
-    An engine that has started since the request was sent proves nothing by a count of 0.
+    A count of 0 proves nothing if the engine restarted after the request was sent.
     """
 
     started: int
@@ -137,7 +138,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A prefix block stored or evicted; numbers that are missing are events that were lost."""
+    """The storing or eviction of a prefix block. Gaps in `number` are lost events."""
 
     number: int
     stored: bool
@@ -146,12 +147,12 @@
 
 
 class EngineClient:
-    """Orders and requests to one engine.
+    """Sends orders and requests to one engine.
 
-    Orders raise `StaleFence`, `OrderRefused` and `TargetUnreachable`, the last also when a reply is
-    lost: read the state back. Requests raise `TargetRefused` when they certainly did not run,
-    `MalformedHttp` when the engine rejects the content, `TargetFailed` and `AnswerIncomplete` when
-    they may have run.
+    Orders raise `StaleFence`, `OrderRefused` and `TargetUnreachable`. The last can also mean that
+    only the reply was lost: read the state to see whether the order took effect. Requests raise
+    `TargetRefused` if they did not run, `MalformedHttp` if the engine rejects the content, and
+    `TargetFailed` or `AnswerIncomplete` if they may have run.
     """
 
     def __init__(self, network: Network, address: str) -> None:
@@ -159,14 +160,14 @@
         self._address = address
 
     async def start(self) -> None:
-        """Do nothing: connections are made as they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self._http.close()
 
     async def stage_chunk(self, digest: Digest, index: int, data: bytes) -> None:
-        """Hand the engine one chunk, to be loaded later."""
+        """Upload one chunk to the engine's staging area, for a later load order."""
         await self._order_call("PUT", f"/staging/{digest}/chunks/{index}", data, ORDER_TIMEOUT_S)
 
     async def staged_chunks(self, digest: Digest) -> dict[int, str]:
@@ -175,40 +176,41 @@
         return decode_json(response, SERVICE, _decode_staged)
 
     async def order(self, order: Order, fence: int) -> None:
-        """Give an order under a fence, which an engine may or may not look at."""
+        """Send an order with a fencing token. Not every engine checks the token."""
         body = json.dumps({**encode_order(order), "fence": fence}).encode()
         await self._order_call("POST", "/orders", body, ORDER_TIMEOUT_S)
 
     async def state(self) -> EngineState:
-        """Return what the engine says of itself now."""
+        """Return the engine's current state."""
         return decode_json(await self._order_call("GET", "/state"), SERVICE, _decode_state)
 
     async def run_count(self, request_id: RequestId) -> RunCount:
-        """Return whether and how often a request ran."""
+        """Return how often the engine started and finished a request."""
         response = await self._order_call("GET", f"/ran/{request_id}")
         return decode_json(response, SERVICE, lambda value: RunCount(**value))
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return the events after a number, late and with gaps."""
+        """Return the cache events numbered above `after`. Events may be late or missing."""
         response = await self._order_call("GET", f"/events?after={after}")
         return decode_json(response, SERVICE, _decode_events)
 
     async def export_kv(self, block: str) -> bytes | None:
-        """Return the KV cache of a prefix block, or None when it is not cached."""
+        """Return the KV cache of a prefix block, or None if it is not cached."""
         response = await self._order_call("GET", f"/kv/{block}", accepted=(200, 404))
         return response.content if response.status == 200 else None
 
     async def import_kv(self, block: str, data: bytes) -> None:
-        """Put an exported prefix block into the engine's cache."""
+        """Store an exported prefix block in the engine's KV cache."""
         await self._order_call("PUT", f"/kv/{block}", data)
 
     async def generate(
         self, generation: Generation, timeout_s: float
     ) -> AsyncGenerator[PieceBatch | AnswerEnd, None]:
-        """Yield pieces as they come, those that come together in one batch, then the end.
+        """Yield pieces as they arrive, batched by read, then the end.
 
-        `timeout_s` bounds the wait for each read. Closing the iterator cancels the request at the
-        engine. An answer that breaks off raises; it never just stops.
+        `timeout_s` limits each read in seconds. Closing the iterator cancels the request at the
+        engine. A truncated answer always raises an error; iteration never ends without an
+        `AnswerEnd`.
         """
         headers = generation.to_headers(EVENT_STREAM)
         try:
@@ -227,7 +229,7 @@
             await response.aclose()
 
     async def answer(self, generation: Generation, timeout_s: float) -> EngineAnswer:
-        """Return the answer whole, within `timeout_s` seconds."""
+        """Return the complete answer within `timeout_s` seconds."""
         headers = generation.to_headers(JSON_TYPE)
         try:
             response = await self._http.request(
@@ -258,7 +260,7 @@
                 self._address, method, target, None, body, timeout_s
             )
         except (OSError, TimeoutError, HttpError) as error:
-            raise TargetUnreachable(f"the engine gave no reply: {describe_error(error)}") from error
+            raise TargetUnreachable(f"the engine sent no reply: {describe_error(error)}") from error
         if response.status not in accepted:
             raise _order_error(response)
         return response
@@ -267,8 +269,8 @@
 def _order_error(response: Response) -> OrderError:
     detail = response.content[:200].decode("utf-8", "replace")
     if response.status == 409 and STALE_FENCE_REASON in detail:
-        return StaleFence(f"the engine has seen a newer order: {detail}")
-    return OrderRefused(f"the engine answered {response.status}: {detail}")
+        return StaleFence(f"the engine has received an order with a newer fence: {detail}")
+    return OrderRefused(f"the engine answered with status {response.status}: {detail}")
 
 
 async def _check_started(response: StreamedResponse) -> None:
@@ -285,7 +287,7 @@
     if 400 <= status < 500:
         raise bad_request_error(status, content)
     if status != 200:
-        raise AnswerIncomplete(f"the engine answered {status}")
+        raise AnswerIncomplete(f"the engine answered with status {status}")
 
 
 def _decode_staged(value: dict[str, Any]) -> dict[int, str]:
@@ -309,6 +311,6 @@
 
 def _decode_events(value: dict[str, Any]) -> list[CacheEvent]:
     return [
-        CacheEvent(int(each["n"]), bool(each["stored"]), Digest(each["digest"]), each["block"])
-        for each in value["events"]
+        CacheEvent(int(event["n"]), bool(event["stored"]), Digest(event["digest"]), event["block"])
+        for event in value["events"]
     ]
--- a/src/lacewinggw/clients/membership.py
+++ b/src/lacewinggw/clients/membership.py
@@ -1,4 +1,4 @@
-"""Client of the platform's list of hosts, which lags behind what is so."""
+"""Client of the platform's membership list, which lags behind the actual state of the hosts."""
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass
@@ -15,14 +15,14 @@
 
 
 class MemberRole(Enum):
-    """What runs on a host."""
+    """The kind of process that runs on a host."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class MemberState(Enum):
-    """Whether a host stays or is on its way out."""
+    """Whether a host is in service or leaving the fleet."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One host of the list; `address` is that of its peer listener.
+    """One host of the list; `address` is its peer listener.
 
-    Entries have a `caller_address` too, and both roles an `operator_address`. `service` names what
-    a plain target serves; it is empty where an engine stands, which can serve any model.
+    Entries also have a `caller_address`, and both roles have an `operator_address`. `service` is
+    the service of a plain target. It is empty for a host with an engine, which can serve any model.
     """
 
     host: HostId
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True)
 class Unchanged:
-    """The list is the one of the poll before."""
+    """The list has not changed since the last poll."""
 
 
 def member_to_json(member: Member) -> dict[str, str]:
-    """Return a member as it travels."""
+    """Return a member as the JSON object sent over the network."""
     return {**asdict(member), "role": member.role.value, "state": member.state.value}
 
 
 def member_from_json(value: Mapping[str, Any]) -> Member:
-    """Return the member that a JSON object stands for; raise `KeyError` or `ValueError`."""
+    """Parse a member from a JSON object; raise `KeyError` or `ValueError` if it is malformed."""
     return Member(
         host=HostId(str(value["host"])),
         place=Place(str(value["place"])),
@@ -71,7 +71,7 @@
 
 
 class MembershipClient:
-    """Polls of the list; one that did not change costs a few bytes.
+    """Polls the membership list. A poll that finds it unchanged transfers only a few bytes.
 
     match await membership.poll():
         case Unchanged(): ...
@@ -85,18 +85,18 @@
 
     @classmethod
     def from_settings(cls, network: Network, settings: PlatformSettings) -> "MembershipClient":
-        """Return the client of the list that the settings name."""
+        """Return a client for the membership address in the settings."""
         return cls(network, settings.membership, settings.timeout_ms / MS_PER_S)
 
     async def start(self) -> None:
-        """Do nothing: connections are made as they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self._http.close()
 
     async def poll(self) -> list[Member] | Unchanged:
-        """Return the list; raise `PlatformUnavailable` when it cannot be had."""
+        """Return the list, or `Unchanged`; raise `PlatformUnavailable` if it can't be read."""
         headers = {"if-none-match": self._tag} if self._tag else None
         response = await self._calls.read("/hosts", headers=headers)
         match response.status:
@@ -110,4 +110,4 @@
 
 
 def _decode_members(value: dict[str, Any]) -> list[Member]:
-    return [member_from_json(each) for each in value["hosts"]]
+    return [member_from_json(member) for member in value["hosts"]]
--- a/src/lacewinggw/clients/orders.py
+++ b/src/lacewinggw/clients/orders.py
@@ -1,4 +1,4 @@
-"""Orders to a model engine."""
+"""Orders to a model engine and their encoding."""
 
 from dataclasses import asdict, dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class EngineRole(Enum):
-    """Which part of a request an engine runs."""
+    """Which phases of a request an engine runs."""
 
     BOTH = "both"
     PREFILL = "prefill"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class LoadOrder:
-    """Load the chunks staged for a digest beside what is active."""
+    """Load the chunks staged for a digest while the active weights stay in use."""
 
     digest: Digest
     release: ReleaseName
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True)
 class ActivateOrder:
-    """Answer with the weights loaded for a digest from now on."""
+    """Use the weights loaded for a digest for all later requests."""
 
     digest: Digest
 
 
 @dataclass(frozen=True)
 class UnloadOrder:
-    """Drop what is staged and loaded for a digest."""
+    """Discard the staged chunks and loaded weights of a digest."""
 
     digest: Digest
 
 
 @dataclass(frozen=True)
 class AdapterOrder:
-    """Load an adapter, or drop it."""
+    """Load an adapter, or unload it if `loaded` is false."""
 
     adapter: str
     loaded: bool = True
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class RoleOrder:
-    """Change the engine's role."""
+    """Change which phases of a request the engine runs."""
 
     role: EngineRole
 
@@ -57,7 +57,7 @@
 
 
 def encode_order(order: Order) -> dict[str, Any]:
-    """Return an order as it travels, without its fence."""
+    """Return the JSON object of an order, without its fencing token."""
     match order:
         case LoadOrder():
             kind = "load"
--- a/src/lacewinggw/clients/pieces.py
+++ b/src/lacewinggw/clients/pieces.py
@@ -1,4 +1,4 @@
-"""The pieces of a streamed answer, read from a model engine's server-sent events."""
+"""Reads the pieces of a streamed answer from a model engine's server-sent events."""
 
 import json
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class PieceBatch:
-    """Pieces that came together; `first` is the index of the first."""
+    """Pieces that arrived together; `first` is the index of the first one."""
 
     first: int
     pieces: list[bytes]
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class AnswerEnd:
-    """The end of a whole answer: how many pieces it has in all, and the weights it came from."""
+    """The end of a complete answer: its total number of pieces, and the weights that it used."""
 
     pieces: int
     weights: Digest
@@ -33,24 +33,27 @@
 async def read_pieces(
     response: StreamedResponse, next_index: int
 ) -> AsyncIterator[PieceBatch | AnswerEnd]:
-    """Yield batches of pieces and the end, the first piece being number `upcoming`.
+    """Yield batches of pieces and then the end; the first piece must have index `next_index`.
 
-    Raises `AnswerIncomplete` unless each piece is the one due and the end counts them all.
+    Raises `AnswerIncomplete` if the pieces aren't consecutive, an event is malformed or too large,
+    the end is missing, or the end's piece count doesn't match the pieces received.
     """
     buffer = b""
     async for data in response.pieces():
         *events, buffer = (buffer + data).split(EVENT_END)
         if len(buffer) > EVENT_LIMIT_BYTES:
-            raise AnswerIncomplete(f"an event of the engine is over {EVENT_LIMIT_BYTES} bytes")
+            raise AnswerIncomplete(f"an event of the engine exceeds {EVENT_LIMIT_BYTES} bytes")
         batch, end = _decode_batch(events)
         if batch is not None:
             if batch.first != next_index:
-                raise AnswerIncomplete(f"piece {batch.first} came where {next_index} was due")
+                raise AnswerIncomplete(f"received piece {batch.first}, expected {next_index}")
             next_index = batch.first + len(batch.pieces)
             yield batch
         if end is not None:
             if end.pieces != next_index:
-                raise AnswerIncomplete(f"{end.pieces} pieces were told, {next_index} came")
+                raise AnswerIncomplete(
+                    f"the engine announced {end.pieces} pieces but sent {next_index}"
+                )
             yield end
             return
     raise AnswerIncomplete("the engine's stream has no final event")
@@ -69,7 +72,7 @@
                 break
             first = int(value["i"]) if first is None else first
             if value["i"] != first + len(pieces):
-                raise AnswerIncomplete(f"piece {value['i']} came out of order")
+                raise AnswerIncomplete(f"piece {value['i']} arrived out of order")
             pieces.append(str(value["text"]).encode())
     except (ValueError, KeyError, TypeError) as error:
         raise AnswerIncomplete(f"an event of the engine is malformed: {error!r}") from error
--- a/src/lacewinggw/clients/plain.py
+++ b/src/lacewinggw/clients/plain.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class PlainCall:
-    """One call to a plain service; `key` is its idempotency key, "" for none."""
+    """One call to a plain service; `idempotency_key` is "" if it has none."""
 
     request_id: RequestId
     path: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class PlainAnswer:
-    """A whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -35,10 +35,10 @@
 
 
 class PlainClient:
-    """Calls to one plain service.
+    """Sends calls to one plain service.
 
-    Raises `TargetRefused` when the call certainly did not run, `TargetFailed` when it may have.
-    Any status that is no refusal is an answer.
+    Raises `TargetRefused` if the call did not run, and `TargetFailed` if it may have run. A
+    response with any status other than a refusal is returned as an answer.
     """
 
     def __init__(self, network: Network, address: str) -> None:
@@ -46,14 +46,14 @@
         self._address = address
 
     async def start(self) -> None:
-        """Do nothing: connections are made as they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self._http.close()
 
     async def call(self, call: PlainCall, timeout_s: float) -> PlainAnswer:
-        """Make a call, once, and return its answer whole."""
+        """Send a call once, without retries, and return its complete answer."""
         headers = {REQUEST_ID_HEADER: call.request_id, "content-type": call.content_type}
         if call.idempotency_key:
             headers[IDEMPOTENCY_KEY_HEADER] = call.idempotency_key
--- a/src/lacewinggw/clients/platform.py
+++ b/src/lacewinggw/clients/platform.py
@@ -1,4 +1,4 @@
-"""The clients of the platform's services that one process holds."""
+"""All clients of the platform's services that one process uses."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class PlatformClients:
-    """One client of each service; connections are made as they are needed.
+    """One client for each service, connected on demand.
 
     `origin` and `weight_store` are the two sources of weights.
     """
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_settings(cls, network: Network, settings: PlatformSettings) -> "PlatformClients":
-        """Return the clients of the services that the settings name."""
+        """Return clients for the service addresses in the settings."""
         return cls(
             TableClient.from_settings(network, settings),
             ObjectClient.from_settings(network, settings),
@@ -35,7 +35,7 @@
         )
 
     async def close(self) -> None:
-        """Close the connections of each."""
+        """Close the connections of all clients."""
         await self.table.close()
         await self.objects.close()
         await self.membership.close()
--- a/src/lacewinggw/clients/table.py
+++ b/src/lacewinggw/clients/table.py
@@ -1,4 +1,4 @@
-"""Client of the platform's transactional table service: rows under compare-and-set."""
+"""Client of the platform's transactional table service: rows with compare-and-set."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One row; its version is what a compare-and-set names."""
+    """One row; compare-and-set compares its `version`."""
 
     key: str
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Put:
-    """One write: if `if_version` is given the row must have it, `ABSENT` meaning no row."""
+    """One write. If `if_version` is set, the row must have it; `ABSENT` requires no row."""
 
     key: str
     value: str
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """The write took effect; the row now has this version."""
+    """The write took effect; `version` is the row's new version."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """The comparison failed and nothing was written; `row` is what stands there now."""
+    """The comparison failed and nothing was written; `row` is the current row, if any."""
 
     row: Row | None
 
@@ -50,10 +50,10 @@
 
 
 class TableClient:
-    """Rows of the table service.
+    """Reads and writes rows of the table service.
 
-    Reads raise `PlatformUnavailable` or `PlatformThrottled`. Writes raise the same when they
-    certainly had no effect, and `WriteUnknown` when they may have had: read the row back then.
+    Reads raise `PlatformUnavailable` or `PlatformThrottled`. Writes raise these if they had no
+    effect, and `WriteUnknown` if they may have taken effect: read the row back in that case.
 
         match await table.put("log/7", entry, if_version=ABSENT):
             case Accepted(version): ...
@@ -66,18 +66,18 @@
 
     @classmethod
     def from_settings(cls, network: Network, settings: PlatformSettings) -> "TableClient":
-        """Return the client of the table service that the settings name."""
+        """Return a client for the table service address in the settings."""
         return cls(network, settings.table, settings.timeout_ms / MS_PER_S)
 
     async def start(self) -> None:
-        """Do nothing: connections are made as they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self._http.close()
 
     async def get(self, key: str) -> Row | None:
-        """Return a row, or None when there is none."""
+        """Return the row of a key, or None if there is none."""
         response = await self._calls.read(f"/rows/{key}")
         match response.status:
             case 200:
@@ -87,7 +87,7 @@
         raise self._calls.unexpected_status(response)
 
     async def scan(self, prefix: str, after: str = "", limit: int = 100) -> list[Row]:
-        """Return up to `limit` rows whose keys have the prefix and sort after `after`, in order."""
+        """Return up to `limit` rows with the key prefix whose keys sort after `after`, in order."""
         query = {"prefix": prefix, "after": after, "limit": str(limit)}
         response = await self._calls.read("/rows", query)
         if response.status != 200:
@@ -95,32 +95,34 @@
         return decode_json(response, SERVICE, _decode_rows)
 
     async def put(self, key: str, value: str, if_version: int | None = None) -> PutResult:
-        """Write a row, under a comparison when `if_version` is given."""
-        asked = {"value": value, "if_version": if_version}
-        response = await self._calls.write("PUT", f"/rows/{key}", asked)
+        """Write a row; if `if_version` is given, only when the row has that version."""
+        body = {"value": value, "if_version": if_version}
+        response = await self._calls.write("PUT", f"/rows/{key}", body)
         return self._decode_write(response)
 
     async def delete(self, key: str, if_version: int | None = None) -> PutResult:
-        """Remove a row; one that is not there counts as removed."""
+        """Delete a row, only at `if_version` if given; deleting a missing row succeeds."""
         query = None if if_version is None else {"if_version": str(if_version)}
         response = await self._calls.write("DELETE", f"/rows/{key}", query=query)
         return self._decode_write(response)
 
     async def put_many(self, puts: Sequence[Put]) -> list[PutResult]:
-        """Write several rows in one call, each with a result of its own, in the same order.
+        """Write several rows in one call; return one result for each, in the same order.
 
-        `WriteUnknown` then holds for each of them.
+        A `WriteUnknown` applies to every one of them.
         """
-        asked = [{"key": put.key, "value": put.value, "if_version": put.if_version} for put in puts]
-        response = await self._calls.write("POST", "/batch", asked)
+        body = [{"key": put.key, "value": put.value, "if_version": put.if_version} for put in puts]
+        response = await self._calls.write("POST", "/batch", body)
         if response.status != 200:
             raise self._calls.unexpected_status(response)
-        return decode_json(response, SERVICE, lambda value: list(map(_result, value["results"])))
+        return decode_json(
+            response, SERVICE, lambda value: list(map(_decode_result, value["results"]))
+        )
 
     def _decode_write(self, response: Response) -> PutResult:
         if response.status not in WRITE_RESULT_STATUSES:
             raise self._calls.unexpected_status(response)
-        return decode_json(response, SERVICE, _result)
+        return decode_json(response, SERVICE, _decode_result)
 
 
 def _decode_row(value: dict[str, Any]) -> Row:
@@ -128,10 +130,10 @@
 
 
 def _decode_rows(value: dict[str, Any]) -> list[Row]:
-    return [_decode_row(each) for each in value["rows"]]
+    return [_decode_row(row) for row in value["rows"]]
 
 
-def _result(value: dict[str, Any]) -> PutResult:
+def _decode_result(value: dict[str, Any]) -> PutResult:
     row = value["row"]
     if value["status"] == 200:
         return Accepted(int(row["version"]) if row else ABSENT)
--- a/src/lacewinggw/clients/weights.py
+++ b/src/lacewinggw/clients/weights.py
@@ -21,14 +21,14 @@
 
 
 def release_digest(chunk_hashes: Iterable[bytes]) -> Digest:
-    """Return the identity of a release: hex SHA-256 over its chunks' hashes, in order."""
+    """Return the digest of a release: the hex SHA-256 of its chunk hashes, in order."""
     return Digest(hashlib.sha256(b"".join(chunk_hashes)).hexdigest())
 
 
 class TransferRateMonitor:
-    """Notice a transfer that stands still, or crawls.
+    """Detects a transfer that stalls or is too slow.
 
-    Over each `stall_s` seconds at least `floor_bytes_per_s` must come in.
+    Every window of `stall_s` seconds must receive at least `min_bytes_per_s` on average.
     """
 
     def __init__(self, started_at: float, stall_s: float, min_bytes_per_s: int) -> None:
@@ -38,21 +38,21 @@
         self._received = 0
 
     def is_too_slow(self, now: float, received: int) -> bool:
-        """Count bytes as they come, and tell whether the window now ending had too few."""
+        """Count received bytes; return whether a window ends now and received too few."""
         self._received += received
         if now - self._window_start < self._stall_s:
             return False
-        below = self._received < self._min_window_bytes
+        is_too_slow = self._received < self._min_window_bytes
         self._window_start, self._received = now, 0
-        return below
+        return is_too_slow
 
 
 class WeightsClient:
-    """Manifests and chunks from one source.
+    """Downloads manifests and chunks from one source.
 
-    Raises `PlatformUnavailable`, `PlatformThrottled`, `UnknownDigest` when the source does not
-    have what is asked, and `TimedOut` when a transfer stalls. A manifest is checked against its
-    digest here; a chunk comes as it was sent, and is checked by who asked for it.
+    Raises `PlatformUnavailable`, `PlatformThrottled`, `UnknownDigest` if the source does not have
+    the requested item, and `TimedOut` if a transfer stalls. Manifests are verified against their
+    digest here. Chunks are returned unverified: the caller checks their hashes.
     """
 
     def __init__(
@@ -75,50 +75,57 @@
     def for_origin(
         cls, network: Network, settings: PlatformSettings, stall_s: float = STALL_WINDOW_S
     ) -> "WeightsClient":
-        """Return the client of the origin that the settings name."""
+        """Return a client for the origin address in the settings."""
         return cls(network, settings.origin, ORIGIN, settings.timeout_ms / MS_PER_S, stall_s)
 
     @classmethod
     def for_weight_store(
         cls, network: Network, settings: PlatformSettings, stall_s: float = STALL_WINDOW_S
     ) -> "WeightsClient":
-        """Return the client of the weight store that the settings name."""
+        """Return a client for the weight store address in the settings."""
         timeout_s = settings.timeout_ms / MS_PER_S
         return cls(network, settings.weight_store, WEIGHT_STORE, timeout_s, stall_s)
 
     async def start(self) -> None:
-        """Do nothing: connections are made as they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self._http.close()
 
     async def manifest(self, name: ReleaseName) -> Manifest:
-        """Return the manifest published under a release's name."""
+        """Return the manifest published under a release's name.
+
+        Raises `ManifestMismatch` if it does not match its own digest.
+        """
         return self._decode_manifest(await self._calls.read(f"/releases/{name}/manifest"), name)
 
     async def manifest_by_digest(self, digest: Digest) -> Manifest:
-        """Return the manifest of a digest."""
+        """Return the manifest with a digest; raise `ManifestMismatch` if it has another one."""
         response = await self._calls.read(f"/manifests/{digest}")
         manifest = self._decode_manifest(response, digest)
         if manifest.digest != digest:
-            raise ManifestMismatch(f"the {self._service} has {manifest.digest} for {digest}")
+            raise ManifestMismatch(
+                f"the {self._service} sent manifest {manifest.digest} for {digest}"
+            )
         return manifest
 
     async def fetch(self, manifest: Manifest, index: int) -> bytes:
-        """Return the bytes that the source sends for one of a release's chunks, unchecked."""
+        """Download the chunk at an index of a release, without verifying its hash."""
         return await self.chunk(manifest.chunk_hashes[index].hex())
 
     async def chunk(self, chunk_hash: str) -> bytes:
-        """Return the bytes that the source sends for a chunk, unchecked."""
+        """Download the chunk with a hash, without verifying its content."""
         path = join_path(f"/chunks/{chunk_hash}")
         try:
             response = await self._http.stream(self._address, "GET", path, timeout_s=self._stall_s)
             return await self._receive(response, chunk_hash)
         except TimeoutError as error:
-            raise TimedOut(f"the {self._service} stalled over chunk {chunk_hash}") from error
+            raise TimedOut(
+                f"the {self._service} stalled while sending chunk {chunk_hash}"
+            ) from error
         except (OSError, HttpError) as error:
-            reason = f"the {self._service} broke off over chunk {chunk_hash}: {error}"
+            reason = f"reading from the {self._service} failed at chunk {chunk_hash}: {error}"
             raise PlatformUnavailable(reason) from error
 
     async def _receive(self, response: StreamedResponse, chunk_hash: str) -> bytes:
@@ -130,13 +137,13 @@
 
     async def _receive_body(self, response: StreamedResponse) -> bytes:
         loop = asyncio.get_running_loop()
-        floor = TransferRateMonitor(loop.time(), self._stall_s, self._min_bytes_per_s)
+        monitor = TransferRateMonitor(loop.time(), self._stall_s, self._min_bytes_per_s)
         received = bytearray()
-        async for piece in response.pieces():
-            received += piece
+        async for data in response.pieces():
+            received += data
             if len(received) > CHUNK_LIMIT_BYTES:
-                raise HttpError(413, f"the chunk is over {CHUNK_LIMIT_BYTES} bytes")
-            if floor.is_too_slow(loop.time(), len(piece)):
+                raise HttpError(413, f"the chunk exceeds {CHUNK_LIMIT_BYTES} bytes")
+            if monitor.is_too_slow(loop.time(), len(data)):
                 raise TimeoutError
         return bytes(received)
 
@@ -147,19 +154,21 @@
         if response.status != 200:
             raise self._calls.unexpected_status(response)
 
-    def _decode_manifest(self, response: Response, wanted: str) -> Manifest:
+    def _decode_manifest(self, response: Response, name_or_digest: str) -> Manifest:
         if response.status == 404:
-            raise UnknownDigest(f"the {self._service} has no manifest for {wanted}")
+            raise UnknownDigest(f"the {self._service} has no manifest for {name_or_digest}")
         if response.status != 200:
             raise self._calls.unexpected_status(response)
         manifest = decode_json(response, self._service, _decode_manifest)
         if release_digest(manifest.chunk_hashes) != manifest.digest:
-            raise ManifestMismatch(f"the manifest for {wanted} does not match its own digest")
+            raise ManifestMismatch(
+                f"the manifest for {name_or_digest} does not match its own digest"
+            )
         return manifest
 
 
 def manifest_to_json(manifest: Manifest) -> dict[str, Any]:
-    """Return a manifest as it travels."""
+    """Return a manifest as the JSON object sent over the network."""
     return {
         "name": manifest.name,
         "digest": manifest.digest,
@@ -172,5 +181,5 @@
     hashes = [bytes.fromhex(chunk_hash) for chunk_hash in value["chunk_hashes"]]
     sizes = [int(size) for size in value["chunk_sizes"]]
     if len(hashes) != len(sizes) or min(sizes, default=1) <= 0:
-        raise ValueError("chunk hashes and sizes do not fit together")
+        raise ValueError("chunk hashes and sizes differ in number, or a size is not positive")
     return Manifest(str(value["name"]), str(value["digest"]), hashes, sizes)
--- a/tests/fuzz/test_fuzz_manifests.py
+++ b/tests/fuzz/test_fuzz_manifests.py
@@ -1,4 +1,7 @@
-"""Manifests as a broken or hostile origin gives them: refused with a code, never half believed."""
+"""Fuzz tests of manifests from a faulty or hostile origin.
+
+A malformed manifest must raise an error with a code and never be accepted in part.
+"""
 
 import hashlib
 import json
@@ -25,13 +28,13 @@
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner),
     max_leaves=12,
 )
-broken_fields = st.dictionaries(
+invalid_fields = st.dictionaries(
     st.sampled_from(["name", "digest", "chunk_hashes", "chunk_sizes"]), json_values, min_size=1
 )
 
 
-def ask(body: bytes) -> Manifest:
-    """Return what the client makes of an origin that answers every question with `body`."""
+def fetch_manifest(body: bytes) -> Manifest:
+    """Return the manifest read from an origin that answers every request with `body`."""
 
     async def run() -> Manifest:
         network = MemoryNetwork()
@@ -56,27 +59,27 @@
     return json.dumps({**manifest_to_json(GOOD), **changes}).encode()
 
 
-def test_a_good_manifest_is_taken() -> None:
-    assert ask(encode()) == GOOD
+def test_valid_manifest_is_accepted() -> None:
+    assert fetch_manifest(encode()) == GOOD
 
 
 @given(st.binary(max_size=200) | json_values.map(lambda value: json.dumps(value).encode()))
-def test_whatever_is_no_manifest_is_refused(body: bytes) -> None:
+def test_input_that_is_no_manifest_is_rejected(body: bytes) -> None:
     with pytest.raises(LacewingError):
-        ask(body)
+        fetch_manifest(body)
 
 
-@given(broken_fields)
-def test_a_manifest_with_broken_fields_is_refused_or_still_the_same_weights(
+@given(invalid_fields)
+def test_manifest_with_invalid_fields_is_rejected_or_keeps_the_same_weights(
     changes: dict[str, Any],
 ) -> None:
     try:
-        taken = ask(encode(**changes))
+        accepted = fetch_manifest(encode(**changes))
     except LacewingError:
         return
-    assert (taken.digest, taken.chunk_hashes) == (GOOD.digest, GOOD.chunk_hashes)
-    assert len(taken.chunk_sizes) == len(HASHES)
-    assert all(size > 0 for size in taken.chunk_sizes)
+    assert (accepted.digest, accepted.chunk_hashes) == (GOOD.digest, GOOD.chunk_hashes)
+    assert len(accepted.chunk_sizes) == len(HASHES)
+    assert all(size > 0 for size in accepted.chunk_sizes)
 
 
 @pytest.mark.parametrize(
@@ -85,12 +88,12 @@
         {"chunk_sizes": [4, 4]},
         {"chunk_sizes": [4, 4, 0]},
         {"chunk_sizes": [4, 4, -2]},
-        {"chunk_hashes": [each.hex() for each in reversed(HASHES)]},
+        {"chunk_hashes": [chunk_hash.hex() for chunk_hash in reversed(HASHES)]},
         {"chunk_hashes": ["zz"] * 3},
         {"digest": "0" * 64},
     ],
     ids=["sizes short", "size zero", "size negative", "order", "not hex", "digest"],
 )
-def test_a_manifest_that_contradicts_itself_is_refused(changes: dict[str, Any]) -> None:
+def test_inconsistent_manifest_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(LacewingError):
-        ask(encode(**changes))
+        fetch_manifest(encode(**changes))
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins and clients on loopback sockets, where memory streams might differ."""
+"""Tests of clients and stand-ins over loopback sockets, which can differ from memory streams."""
 
 import asyncio
 import gc
@@ -16,10 +16,10 @@
 from lacewinggw.wire.network import TcpNetwork
 
 DIGEST = Digest("00" * 32)
-GIVE_UP_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 
 
-async def test_leaving_a_stream_frees_its_place_without_garbage_collection() -> None:
+async def test_closing_a_stream_cancels_its_run_without_garbage_collection() -> None:
     network = TcpNetwork()
     engine = EngineStandIn(network)
     await engine.start()
@@ -32,7 +32,7 @@
     try:
         async with aclosing(client.generate(Generation(RequestId("r1"), body), 5.0)) as items:
             await anext(items)
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             await wait_while(lambda: engine.stats()["running"] > 0)
     finally:
         gc.enable()
@@ -41,13 +41,15 @@
     await engine.close()
 
 
-async def test_a_release_comes_whole() -> None:
+async def test_all_chunks_of_a_release_are_downloaded_once() -> None:
     network = TcpNetwork()
     origin = WeightsStandIn(network, bytes_per_s=50e6)
     await origin.start()
     manifest = origin.add_release(SyntheticRelease("market-7", 3 << 20))
     client = WeightsClient(network, origin.address, ORIGIN, 5.0)
-    chunks = await asyncio.gather(*[client.chunk(each.hex()) for each in manifest.chunk_hashes])
+    chunks = await asyncio.gather(
+        *[client.chunk(chunk_hash.hex()) for chunk_hash in manifest.chunk_hashes]
+    )
     assert [hashlib.sha256(chunk).digest() for chunk in chunks] == manifest.chunk_hashes
     assert origin.copies("market-7") == 1.0
     await client.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's clients against its stand-ins, under virtual time."""
+"""Tests of the platform's clients against stand-in services, under virtual time."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 
 
 class Fixture:
-    """Stand-ins in memory with a client of each."""
+    """In-memory stand-ins for the platform's services, with a client for each."""
 
     def __init__(self) -> None:
         self.network = MemoryNetwork()
@@ -46,7 +46,7 @@
 
 
 @asynccontextmanager
-async def started() -> AsyncIterator[Fixture]:
+async def started_fixture() -> AsyncIterator[Fixture]:
     fixture = Fixture()
     await fixture.start()
     try:
@@ -56,7 +56,7 @@
 
 
 async def test_compare_and_set() -> None:
-    async with started() as fixture:
+    async with started_fixture() as fixture:
         table = fixture.table
         first = await table.put("log/1", "a", if_version=0)
         assert isinstance(first, Accepted)
@@ -67,8 +67,8 @@
         assert await table.get("absent") is None
 
 
-async def test_a_row_made_anew_has_a_fresh_version() -> None:
-    async with started() as fixture:
+async def test_recreated_row_has_a_higher_version() -> None:
+    async with started_fixture() as fixture:
         first = await fixture.table.put("key", "a", if_version=0)
         assert isinstance(await fixture.table.delete("key"), Accepted)
         second = await fixture.table.put("key", "b", if_version=0)
@@ -76,15 +76,15 @@
         assert second.version > first.version
 
 
-async def test_one_of_many_writers_wins() -> None:
-    async with started() as fixture:
+async def test_only_one_concurrent_conditional_write_succeeds() -> None:
+    async with started_fixture() as fixture:
         writes = [fixture.table.put("log/1", str(n), if_version=0) for n in range(20)]
         results = await asyncio.gather(*writes)
         assert sum(isinstance(result, Accepted) for result in results) == 1
 
 
-async def test_scan_is_ordered_and_bounded() -> None:
-    async with started() as fixture:
+async def test_scan_returns_ordered_rows_up_to_the_limit() -> None:
+    async with started_fixture() as fixture:
         for key in ("b/3", "a/2", "b/1", "b/2", "c"):
             await fixture.table.put(key, key)
         rows = await fixture.table.scan("b/", after="b/1", limit=1)
@@ -92,8 +92,8 @@
         assert [row.key for row in await fixture.table.scan("b/")] == ["b/1", "b/2", "b/3"]
 
 
-async def test_many_puts_count_as_one_write() -> None:
-    async with started() as fixture:
+async def test_put_many_counts_as_one_write() -> None:
+    async with started_fixture() as fixture:
         results = await fixture.table.put_many(
             [Put("a", "1", 0), Put("a", "2", 0), Put("é b", "3")]
         )
@@ -102,8 +102,8 @@
         assert (await fixture.table.get("é b")) is not None
 
 
-async def test_lost_reply_leaves_the_write_in_effect() -> None:
-    async with started() as fixture:
+async def test_write_takes_effect_when_its_reply_is_lost() -> None:
+    async with started_fixture() as fixture:
         fixture.platform.table.faults.lose_next = 1
         with pytest.raises(WriteUnknown):
             await fixture.table.put("log/1", "a", if_version=0)
@@ -111,8 +111,8 @@
 
 
 @pytest.mark.parametrize("outage", [Outage.REFUSE, Outage.CUT, Outage.HANG])
-async def test_outage_is_never_taken_for_an_answer(outage: Outage) -> None:
-    async with started() as fixture:
+async def test_outage_raises_instead_of_returning_a_result(outage: Outage) -> None:
+    async with started_fixture() as fixture:
         fixture.platform.table.faults.outage = outage
         with pytest.raises(PlatformUnavailable):
             await fixture.table.get("key")
@@ -123,15 +123,15 @@
         assert await fixture.table.get("key") is None
 
 
-async def test_a_closed_service_certainly_wrote_nothing() -> None:
-    async with started() as fixture:
+async def test_write_to_a_closed_service_is_known_to_have_no_effect() -> None:
+    async with started_fixture() as fixture:
         await fixture.platform.table.close()
         with pytest.raises(PlatformUnavailable):
             await fixture.table.put("key", "a")
 
 
 async def test_slow_write_may_take_effect_after_its_timeout() -> None:
-    async with started() as fixture:
+    async with started_fixture() as fixture:
         fixture.platform.table.faults.delay_s = 3.0
         with pytest.raises(WriteUnknown):
             await fixture.table.put("key", "a")
@@ -141,8 +141,8 @@
         assert await fixture.table.get("key") is not None
 
 
-async def test_over_capacity_is_refused_with_a_wait() -> None:
-    async with started() as fixture:
+async def test_writes_over_the_rate_limit_are_refused_with_a_retry_delay() -> None:
+    async with started_fixture() as fixture:
         table = fixture.platform.table
         writes = [fixture.table.put(str(n), "") for n in range(600)]
         results = await asyncio.gather(*writes, return_exceptions=True)
@@ -152,8 +152,8 @@
         assert table.writes.peak == 500
 
 
-async def test_objects() -> None:
-    async with started() as fixture:
+async def test_object_store_operations() -> None:
+    async with started_fixture() as fixture:
         objects = fixture.objects
         await objects.put("snapshots/2", b"two")
         await objects.put("snapshots/1", b"one")
@@ -166,19 +166,19 @@
             await objects.put("answers/1", b"")
 
 
-def member(host: str) -> Member:
+def make_member(host: str) -> Member:
     return Member(host, "labasa-hall", MemberRole.AGENT, f"{host}:1")  # type: ignore[arg-type]
 
 
-async def test_membership_lags_and_unchanged_polls_are_told() -> None:
-    async with started() as fixture:
-        listing = fixture.platform.membership
-        listing.put(member("10.0.0.1"))
-        assert await fixture.membership.poll() == [member("10.0.0.1")]
+async def test_membership_list_lags_and_reports_unchanged_polls() -> None:
+    async with started_fixture() as fixture:
+        stand_in = fixture.platform.membership
+        stand_in.put(make_member("10.0.0.1"))
+        assert await fixture.membership.poll() == [make_member("10.0.0.1")]
         assert await fixture.membership.poll() == Unchanged()
         await asyncio.sleep(10.0)
-        listing.faults.lag_s = 5.0
-        listing.set_leaving("10.0.0.1")
+        stand_in.faults.lag_s = 5.0
+        stand_in.set_leaving("10.0.0.1")
         await asyncio.sleep(4.0)
         assert await fixture.membership.poll() == Unchanged()
         await asyncio.sleep(1.1)
@@ -186,21 +186,23 @@
         assert isinstance(polled, list) and polled[0].state is MemberState.LEAVING
 
 
-async def test_control_sets_faults_and_refuses_unknown_ones() -> None:
-    async with started() as fixture:
+async def test_control_endpoint_sets_faults_and_rejects_invalid_ones() -> None:
+    async with started_fixture() as fixture:
         http = HttpClient(fixture.network)
         address = fixture.platform.membership.address
         body = b'{"lag_s": 2, "outage": "refuse"}'
         assert (await http.request(address, "POST", "/control", body=body)).status == 200
         assert fixture.platform.membership.faults.outage is Outage.REFUSE
-        for wrong in (b'{"lag": 2}', b'{"outage": "maybe"}', b"{"):
-            assert (await http.request(address, "POST", "/control", body=wrong)).status == 400
+        for invalid_body in (b'{"lag": 2}', b'{"outage": "maybe"}', b"{"):
+            assert (
+                await http.request(address, "POST", "/control", body=invalid_body)
+            ).status == 400
         assert (await http.request(address, "GET", "/stats")).json()["lag_s"] == 2
         await http.close()
 
 
 class SilentNetwork(MemoryNetwork):
-    """A network on which connecting never ends, as to a host that is gone."""
+    """A network on which connecting never completes, as with an unreachable host."""
 
     async def connect(self, address: str) -> Stream:
         await asyncio.sleep(3600)
@@ -208,15 +210,15 @@
 
 
 @pytest.mark.parametrize("timeout_s", [0.5, 2.0, 30.0])
-async def test_a_host_that_is_gone_certainly_wrote_nothing(timeout_s: float) -> None:
+async def test_write_to_an_unreachable_host_is_known_to_have_no_effect(timeout_s: float) -> None:
     table = TableClient(SilentNetwork(), "10.0.0.9:1", timeout_s)
     with pytest.raises(PlatformUnavailable):
         await table.put("key", "a")
     await table.close()
 
 
-async def test_a_connection_cut_before_the_reply_is_not_called_broken_http() -> None:
-    async with started() as fixture:
+async def test_connection_cut_before_the_reply_is_not_an_http_error() -> None:
+    async with started_fixture() as fixture:
         fixture.platform.table.faults.outage = Outage.CUT
         http = HttpClient(fixture.network)
         with pytest.raises(ConnectionResetError):
