--- a/src/lacewinggw/agent/downloads.py
+++ b/src/lacewinggw/agent/downloads.py
@@ -265,7 +265,7 @@
         if link is None:
             raise LinkBusy(f"the link to {host} is closed")
         size = self.manifest.chunk_sizes[request.index]
-        call = link.open(messages.FetchChunk(self.digest, request.index, request.endgame))
+        call = link.start_call(messages.FetchChunk(self.digest, request.index, request.endgame))
         received = bytearray()
         try:
             async for piece in call.replies():
--- a/src/lacewinggw/clients/calls.py
+++ b/src/lacewinggw/clients/calls.py
@@ -170,7 +170,7 @@
                     self._address, method, target, headers, body, timeout_s, pause_s, connect_s
                 )
             except NotConnectedError as error:
-                if not error.is_silent:
+                if not error.is_timeout:
                     raise
         remaining_s = max(MIN_CONNECT_S, connect_deadline - asyncio.get_running_loop().time())
         return await self._http.request(
--- a/src/lacewinggw/entry/attempts.py
+++ b/src/lacewinggw/entry/attempts.py
@@ -113,8 +113,8 @@
     def fail_connection(self, reason: str) -> None:
         """Fail the connection as lost if an answer is pending on it."""
         if self._call is not None:
-            self._call.follow(Cancel(reason))
-            self._call.take(ConnectionLost(reason))
+            self._call.send_follow_up(Cancel(reason))
+            self._call.enqueue_reply(ConnectionLost(reason))
 
     async def withdraw(self) -> Standing:
         """Prevent the run if it has not started; return the status that the agent can prove.
@@ -155,15 +155,15 @@
         request.head.deadline_ms = int((request.deadline - loop.time()) * MS_PER_S)
         request.head.resume_from = progress.pieces
         self._offered_at = self._offered_at or loop.time()
-        call = self._call = link.open(Offer(request.head, request.body, self._nonce))
+        call = self._call = link.start_call(Offer(request.head, request.body, self._nonce))
         self.offered = True
         passed = DeadlinePassed("the deadline passed before the answer was complete")
-        timer = loop.call_at(self._request.deadline, call.take, passed)
+        timer = loop.call_at(self._request.deadline, call.enqueue_reply, passed)
         try:
             async for pieces in self._receive(call, progress):
                 yield pieces
         except (DeadlinePassed, GeneratorExit):
-            call.follow(Cancel("the entry gave up"))
+            call.send_follow_up(Cancel("the entry gave up"))
             raise
         finally:
             self._call = None
@@ -196,7 +196,7 @@
                     yield pieces
                     unacknowledged += len(pieces)
                     if unacknowledged >= self._credit_step:
-                        call.follow(Credit(unacknowledged))
+                        call.send_follow_up(Credit(unacknowledged))
                         unacknowledged = 0
                 case Finish():
                     progress.close(message)
--- a/src/lacewinggw/entry/limits.py
+++ b/src/lacewinggw/entry/limits.py
@@ -16,7 +16,7 @@
 from lacewinggw.ids import Account, HostId
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import Exchange, PeerNode
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 MS_PER_S = 1000.0
 PERCENT = 100.0
@@ -146,7 +146,7 @@
     async def handle(self, exchange: Exchange) -> None:
         """Apply another entry's demand report after validating it."""
         demand: messages.Demand = exchange.message
-        require_sound(demand)
+        require_valid(demand)
         now = asyncio.get_running_loop().time()
         self._account_entries.note_leaving(
             HostId(exchange.link.remote.host), bool(demand.leaving), now
--- a/src/lacewinggw/entry/peerheartbeats.py
+++ b/src/lacewinggw/entry/peerheartbeats.py
@@ -16,7 +16,7 @@
 from lacewinggw.generated.messages.ttypes import FetchHeard, HeardTarget, HeardTargets
 from lacewinggw.operators.view import FleetView, HeardHeartbeat
 from lacewinggw.wire.peers import Exchange, PeerNode
-from lacewinggw.wire.soundness import require_sound, require_sound_heartbeat
+from lacewinggw.wire.validation import require_valid, require_valid_heartbeat
 
 PARALLEL_QUERIES = 16
 MAX_QUERIED_ENTRIES = 160
@@ -100,9 +100,9 @@
                 reply = await self._node.call(entry.address, query, QUERY_TIMEOUT_S)
             if not isinstance(reply, HeardTargets):
                 return []
-            require_sound(reply)
+            require_valid(reply)
             for target in reply.targets:
-                require_sound_heartbeat(target.heartbeat)
+                require_valid_heartbeat(target.heartbeat)
         except (LacewingError, TimeoutError):
             return []
         return list(reply.targets)
--- a/src/lacewinggw/entry/targets.py
+++ b/src/lacewinggw/entry/targets.py
@@ -43,7 +43,7 @@
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import Exchange, PeerNode
-from lacewinggw.wire.soundness import require_sound_heartbeat
+from lacewinggw.wire.validation import require_valid_heartbeat
 
 MS_PER_S = 1000.0
 TYPICAL_TIME_CACHE_S = 0.25  # a service's median time per request is recomputed after this
@@ -203,7 +203,7 @@
     async def handle(self, exchange: Exchange) -> None:
         """Apply a heartbeat if it is its sender's own; raise `ProtocolViolation` if invalid."""
         heartbeat: messages.Heartbeat = exchange.message
-        require_sound_heartbeat(heartbeat)
+        require_valid_heartbeat(heartbeat)
         if exchange.link.remote.host != heartbeat.host:
             return
         self.note_heartbeat(heartbeat)
--- a/src/lacewinggw/entry/watches.py
+++ b/src/lacewinggw/entry/watches.py
@@ -56,7 +56,7 @@
         for key in [key for key in self._tasks if key not in wanted]:
             self._tasks.pop(key).cancel()
             if all(each.host != key.host for each in wanted):
-                self._node.notify_open(key.address, messages.Watch(self._own_host, stop=True))
+                self._node.notify_if_open(key.address, messages.Watch(self._own_host, stop=True))
         if not self._running:
             return
         for key in wanted - self._tasks.keys():
--- a/src/lacewinggw/frontend/agents.py
+++ b/src/lacewinggw/frontend/agents.py
@@ -20,7 +20,7 @@
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import Address, HostId, ModelName, Place, ServiceName, TargetName
 from lacewinggw.wire.peers import PeerNode
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 FLEET_UPDATE_INTERVAL_S = 1.5  # between updates for agents without a change
 COALESCE_S = 0.02  # changes within this time are sent in one update
@@ -103,7 +103,7 @@
 
     def apply_update(self, update: messages.TargetUpdate) -> None:
         """Apply an agent's update about its target."""
-        require_sound(update)
+        require_valid(update)
         name = TargetName(update.name)
         self._view.record_incarnation(name, update.born_ms)
         self._leaving_targets.publish_new(LeavingSource.AGENT)
@@ -144,7 +144,7 @@
             for entry in self._view.targets.values():
                 agent = self._agent_of(entry)
                 if entry.service == service.name and self._notifies(agent.host, notifiers):
-                    self._node.notify_open(agent.address, update)
+                    self._node.notify_if_open(agent.address, update)
 
     def _is_due(self, service: ServiceName, update: messages.FleetUpdate) -> bool:
         """Return whether an update is due: its content is new, or the interval has passed.
--- a/src/lacewinggw/frontend/agentslots.py
+++ b/src/lacewinggw/frontend/agentslots.py
@@ -33,7 +33,7 @@
     def ask(self, load: TargetLoad, request: SlotRequest) -> "AgentSlotCall | None":
         """Request a slot of a target; return None if there is no link to its agent."""
         host = load.entry.address.rpartition(":")[0]
-        link = self._node.open_link(Address(f"{host}:{self._port}"))
+        link = self._node.find_open_link(Address(f"{host}:{self._port}"))
         if link is None:
             return None
         question = messages.AskSlot(
@@ -45,7 +45,7 @@
             suspect=request.suspect or "",
             waited_us=round(request.waited_s * US_PER_S),
         )
-        return AgentSlotCall(link.open(question))
+        return AgentSlotCall(link.start_call(question))
 
 
 class AgentSlotCall:
@@ -67,5 +67,5 @@
 
     def end(self) -> None:
         """Give the slot back, or leave the agent's queue."""
-        self._call.follow(messages.Cancel("done"))
+        self._call.send_follow_up(messages.Cancel("done"))
         self._call.abandon()
--- a/src/lacewinggw/frontend/crashes.py
+++ b/src/lacewinggw/frontend/crashes.py
@@ -147,7 +147,7 @@
         try:
             if entry.target in self._ended_targets:
                 return True
-            has_ended = await self._http.refuses(entry.address, PROBE_TIMEOUT_S)
+            has_ended = await self._http.refuses_connections(entry.address, PROBE_TIMEOUT_S)
         finally:
             self._probes.pop(entry.target, None)
         if has_ended:
--- a/src/lacewinggw/frontend/crashupdates.py
+++ b/src/lacewinggw/frontend/crashupdates.py
@@ -6,7 +6,7 @@
 from lacewinggw.decisions.crashes import Crash, CrashTracker
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import RequestDigest, TargetId
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 MS_PER_S = 1000.0
 
@@ -39,7 +39,7 @@
     @classmethod
     def from_message(cls, update: messages.CrashUpdate, now: float) -> "CrashReport":
         """Return the report in another entry's message; raise `ProtocolViolation` if invalid."""
-        require_sound(update)
+        require_valid(update)
         return cls(
             [_decode_crash(message, now) for message in update.crashes],
             [
--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -177,7 +177,7 @@
         try:
             async with asyncio.timeout(PART_TIMEOUT_S):
                 link = await self._node.link(entry.address, LANE)
-            packed, update = await _receive(link.open(question))
+            packed, update = await _receive(link.start_call(question))
             apply_answer(self._view, update, sent_at)
             if packed:
                 self._apply_routes(packed, update, entry, sent_at)
--- a/src/lacewinggw/frontend/freshness.py
+++ b/src/lacewinggw/frontend/freshness.py
@@ -26,7 +26,7 @@
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import PeerNode
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 CHECK_INTERVAL_S = 0.8  # the age of the routes stays within the reader's poll time plus this
 ANSWER_TIMEOUT_S = 0.5  # answers between regions take some ms, or some 100 ms over a full link
@@ -46,7 +46,7 @@
 
     Raise `ProtocolViolation` if the answer is invalid.
     """
-    require_sound(update)
+    require_valid(update)
     for target in update.leaving:
         view.mark_leaving(TargetId(target))
     is_starting = view.routes is None
--- a/src/lacewinggw/frontend/offers.py
+++ b/src/lacewinggw/frontend/offers.py
@@ -221,5 +221,5 @@
         raise AnswerIncomplete(f"the stream broke off: {error}") from error
     finally:
         await answer.close()
-    if splitter.is_torn:
+    if splitter.has_partial_event:
         raise AnswerIncomplete("the stream ended inside an event")
--- a/src/lacewinggw/frontend/process.py
+++ b/src/lacewinggw/frontend/process.py
@@ -49,7 +49,7 @@
 from lacewinggw.wire.network import Network, TcpNetwork
 from lacewinggw.wire.pages import HealthPages
 from lacewinggw.wire.peers import Exchange, Identity, PeerLink, PeerNode
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 MS_PER_S = 1000.0
 PERCENT = 100.0
@@ -109,7 +109,7 @@
         self.incarnation = new_incarnation(rng)
         identity = Identity(process.host, messages.Role.ENTRY, process.place, self.incarnation)
         self._node = PeerNode(
-            network, identity, process.fleet_key, self._handle, on_notice=self._handle_notice
+            network, identity, process.fleet_key, self._handle, on_notification=self._handle_notice
         )
         self._neighbours = self._make_neighbours()
         self._leaving_targets = LeavingTargets(
@@ -465,7 +465,7 @@
             case messages.Watch() as watch:
                 self._neighbours.apply_watch(link, watch)
             case messages.EntryUpdate() as update:
-                require_sound(update)
+                require_valid(update)
                 self._neighbours.apply_update(link, update)
             case messages.TargetUpdate() as update:
                 self._agents.apply_update(update)
--- a/src/lacewinggw/lab/load/throughput.py
+++ b/src/lacewinggw/lab/load/throughput.py
@@ -102,7 +102,7 @@
             method="POST",
             content_type="application/json",
         )
-        call = link.open(messages.Offer(head, body(number), ""))
+        call = link.start_call(messages.Offer(head, body(number), ""))
         async for _ in call.replies():
             pass
 
--- a/src/lacewinggw/loader/assignment.py
+++ b/src/lacewinggw/loader/assignment.py
@@ -18,7 +18,7 @@
 from lacewinggw.generated.messages import ttypes as messages
 from lacewinggw.ids import Address, HostId, ModelName, Place, ServiceName, TargetId, TargetName
 from lacewinggw.log import get_logger
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 MS_PER_S = 1000.0
 # Entries send updates every 1.5 s; after more than two missing ones, the store is read.
@@ -127,7 +127,7 @@
 
     def apply_update(self, update: messages.FleetUpdate) -> None:
         """Apply an update that an entry sent."""
-        require_sound(update)
+        require_valid(update)
         if update.service_name != self._name:
             return
         now = self._clock()
--- a/src/lacewinggw/loader/process.py
+++ b/src/lacewinggw/loader/process.py
@@ -157,7 +157,7 @@
         self._origin = _ConfiguredOrigin(adapter.make_origin)
         identity = Identity(process.host, messages.Role.AGENT, process.place, self.incarnation)
         self._node = PeerNode(
-            network, identity, process.fleet_key, self._handle, on_notice=self._handle_notice
+            network, identity, process.fleet_key, self._handle, on_notification=self._handle_notice
         )
         self._staged = StagedChunks(adapter.target)
         self.spreader = Spreader.from_config(
--- a/src/lacewinggw/loader/slots.py
+++ b/src/lacewinggw/loader/slots.py
@@ -11,7 +11,7 @@
 from lacewinggw.log import get_logger
 from lacewinggw.metrics import Metrics
 from lacewinggw.wire.peers import Exchange
-from lacewinggw.wire.soundness import require_sound
+from lacewinggw.wire.validation import require_valid
 
 MS_PER_S = 1000.0
 US_PER_S = 1e6
@@ -72,7 +72,7 @@
 
     async def serve(self, exchange: Exchange, request: messages.AskSlot) -> None:
         """Handle one lease from its request to its end."""
-        require_sound(request)
+        require_valid(request)
         if not self._allocator.is_open:
             self._counts[SlotState.DECLINED].add()
             exchange.finish(messages.SlotUpdate(SlotState.DECLINED))
@@ -89,7 +89,7 @@
             del self._exchanges[lease]
             self._allocator.release(lease)
             self._grant()
-        exchange.end_quietly()
+        exchange.finish_without_reply()
 
     def _grant(self, requested: LeaseId | None = None) -> bool:
         """Grant the free slots; return whether `requested` was granted or overtaken."""
--- a/src/lacewinggw/wire/events.py
+++ b/src/lacewinggw/wire/events.py
@@ -29,7 +29,7 @@
         self._buffer = b""
 
     @property
-    def is_torn(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event is at hand."""
         return bool(self._buffer)
 
--- a/src/lacewinggw/wire/headervalues.py
+++ b/src/lacewinggw/wire/headervalues.py
@@ -21,7 +21,7 @@
     return int(text)
 
 
-def read_amount(text: str | None) -> float | None:
+def read_float(text: str | None) -> float | None:
     """Return a finite number that is not negative.
 
     >>> read_amount("1.5"), read_amount("inf"), read_amount("-1")
@@ -45,7 +45,7 @@
         return None
     until = _read_date(text)
     if until is None:
-        return read_amount(text) or None
+        return read_float(text) or None
     sent = _read_date(headers.get("date", "")) or datetime.now(UTC)
     return max(0.0, (until - sent) / timedelta(seconds=1)) or None
 
--- a/src/lacewinggw/wire/http.py
+++ b/src/lacewinggw/wire/http.py
@@ -20,11 +20,11 @@
 from lacewinggw.wire.problems import problem_body, problem_headers
 
 READ_BYTES = 1 << 16
-IDLE_CONNECTIONS = 32
+MAX_IDLE_CONNECTIONS = 32
 CONNECT_SHARE = 0.5
 # Of an answer that keeps coming: half a megabyte at 200 kbit/s. What a store told so long ago is no
 # longer of use to anybody.
-LONGEST_ANSWER_S = 20.0
+MAX_RESPONSE_S = 20.0
 JSON_TYPE = "application/json"
 
 log = get_logger(__name__)
@@ -368,7 +368,7 @@
     """No connection came about: the request was certainly not sent."""
 
     @property
-    def is_silent(self) -> bool:
+    def is_timeout(self) -> bool:
         """Whether nothing answered in time, as opposed to a refusal."""
         return isinstance(self.__cause__, TimeoutError)
 
@@ -386,7 +386,7 @@
         self,
         network: Network,
         limits: HttpLimits | None = None,
-        idle_connections: int = IDLE_CONNECTIONS,
+        idle_connections: int = MAX_IDLE_CONNECTIONS,
     ) -> None:
         self._network = network
         self._limits = limits or HttpLimits()
@@ -402,7 +402,7 @@
                 stream.close()
         self._idle.clear()
 
-    async def refuses(self, address: str, timeout_s: float) -> bool:
+    async def refuses_connections(self, address: str, timeout_s: float) -> bool:
         """Return whether an address refuses connections at once: no process listens there.
 
         A host that is cut off does not answer, which proves nothing.
@@ -422,7 +422,7 @@
         headers: Headers | None = None,
         body: bytes = b"",
         timeout_s: float = 5.0,
-        pause_s: float | None = None,
+        max_pause_s: float | None = None,
         connect_s: float | None = None,
     ) -> Response:
         """Make a request and return its response whole, within `timeout_s` seconds.
@@ -433,8 +433,8 @@
         keeps coming: no pause in it is longer than `pause_s`. For large answers over narrow links,
         which a limit for the whole would cut off and have begun anew, time after time.
         """
-        limit_s = timeout_s if pause_s is None else timeout_s + LONGEST_ANSWER_S
-        read_s = timeout_s if pause_s is None else pause_s
+        limit_s = timeout_s if max_pause_s is None else timeout_s + MAX_RESPONSE_S
+        read_s = timeout_s if max_pause_s is None else max_pause_s
         async with asyncio.timeout(limit_s):
             reply = await self.stream(
                 address,
--- a/src/lacewinggw/wire/network.py
+++ b/src/lacewinggw/wire/network.py
@@ -15,7 +15,7 @@
 
 READ_BUFFER_BYTES = 1 << 18
 CONNECT_TIMEOUT_S = 3.0
-LINGER_NOTHING = struct.pack("ii", 1, 0)  # on, zero seconds: closing resets, and drops what waits
+ZERO_LINGER = struct.pack("ii", 1, 0)  # on, zero seconds: closing resets, and drops what waits
 
 
 class Stream(Protocol):
@@ -119,7 +119,7 @@
         """
         with suppress(OSError):
             peer = self._writer.get_extra_info("socket")
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOTHING)
+            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self._writer.transport.abort()
 
     async def wait_closed(self) -> None:
--- a/src/lacewinggw/wire/peers.py
+++ b/src/lacewinggw/wire/peers.py
@@ -40,7 +40,7 @@
 HANDSHAKE_LIMIT_BYTES = 4096
 NONCE_BYTES = 16
 NO_CALL = 0  # the number of a frame that nobody answers
-FOLLOW_LIMIT = 1024
+MAX_FOLLOW_UPS = 1024
 READ_BYTES = 1 << 16
 
 log = get_logger(__name__)
@@ -78,7 +78,7 @@
         self.wants_reply = wants_reply
         self.done = not wants_reply
         self._call = call
-        self._follow_ups: asyncio.Queue[Message] = asyncio.Queue(FOLLOW_LIMIT)
+        self._follow_ups: asyncio.Queue[Message] = asyncio.Queue(MAX_FOLLOW_UPS)
 
     def reply(self, message: Message) -> None:
         """Send a reply that is not the last."""
@@ -91,7 +91,7 @@
         self.done = True
         self.link.send(self._call, FrameKind.LAST, message)
 
-    def end_quietly(self) -> None:
+    def finish_without_reply(self) -> None:
         """End without a last reply: the caller has said that it waits for none."""
         self.done = True
 
@@ -99,7 +99,7 @@
         """Wait for the caller's next follow-up."""
         return await self._follow_ups.get()
 
-    def take_follow_up(self, message: Message) -> None:
+    def enqueue_follow_up(self, message: Message) -> None:
         """Queue a follow-up that arrived; one too many is a breach of the protocol."""
         try:
             self._follow_ups.put_nowait(message)
@@ -141,7 +141,7 @@
         self._arrival: asyncio.Future[None] | None = None
         self._ended = False
 
-    def follow(self, message: Message) -> None:
+    def send_follow_up(self, message: Message) -> None:
         """Send a follow-up to the handler of this call."""
         if not self._ended:
             self._link.send(self._call, FrameKind.FOLLOW, message)
@@ -171,7 +171,7 @@
                 async for message in self.replies():
                     last = message
         except TimeoutError as error:
-            self.follow(messages.Cancel("timed out"))
+            self.send_follow_up(messages.Cancel("timed out"))
             raise TimedOut(f"no answer from {self._link.remote.host}") from error
         finally:
             self.abandon()
@@ -180,9 +180,9 @@
     def abandon(self) -> None:
         """Stop taking replies."""
         self._ended = True
-        self._link.forget(self._call)
+        self._link.remove_call(self._call)
 
-    def take(self, item: Reply | LacewingError) -> None:
+    def enqueue_reply(self, item: Reply | LacewingError) -> None:
         """Queue a reply that arrived, or the loss of the connection."""
         if self._replies and _join(self._replies[-1], item):
             return
@@ -209,7 +209,7 @@
         """Send a message that has no answer; lost without a word if the link is closed."""
         self.send(NO_CALL, FrameKind.NOTIFY, message)
 
-    def open(self, message: Message) -> OutgoingCall:
+    def start_call(self, message: Message) -> OutgoingCall:
         """Start a call; raise `ConnectionLost` when the link is closed already."""
         if self.closed.is_set():
             raise ConnectionLost(f"the link to {self.remote.host} is closed")
@@ -225,7 +225,7 @@
         Raises the typed error of the other side, `TimedOut` or `ConnectionLost`; after either
         of these two the call may have been carried out.
         """
-        return await self.open(message).result(timeout_s)
+        return await self.start_call(message).result(timeout_s)
 
     def send(self, call: int, kind: FrameKind, message: Message) -> None:
         """Queue a frame; frames queued in one turn of the loop leave in one write."""
@@ -248,7 +248,7 @@
         except OSError as error:
             raise ConnectionLost(f"the link to {self.remote.host} broke") from error
 
-    def forget(self, call: int) -> None:
+    def remove_call(self, call: int) -> None:
         """Drop a call that is over."""
         self._calls.pop(call, None)
 
@@ -292,7 +292,7 @@
         self.closed.set()
         self._stream.close()
         for call in list(self._calls.values()):
-            call.take(ConnectionLost(f"the link to {self.remote.host} broke"))
+            call.enqueue_reply(ConnectionLost(f"the link to {self.remote.host} broke"))
         for _, task in list(self._exchanges.values()):
             task.cancel()
 
@@ -300,12 +300,12 @@
         message = message_of(frame)
         if frame.revision and frame.revision > self.revision:
             self.revision = frame.revision
-            self._node.saw_revision(self, frame.revision)
+            self._node.report_revision(self, frame.revision)
         match frame.kind:
             case FrameKind.REPLY | FrameKind.LAST:
                 call = self._calls.get(frame.call)
                 if call is not None:
-                    call.take((message, frame.kind == FrameKind.LAST))
+                    call.enqueue_reply((message, frame.kind == FrameKind.LAST))
             case FrameKind.NOTIFY if self._take_notice(message):
                 return
             case FrameKind.REQUEST | FrameKind.NOTIFY:
@@ -313,7 +313,7 @@
             case FrameKind.FOLLOW:
                 running = self._exchanges.get(frame.call)
                 if running is not None:
-                    running[0].take_follow_up(message)
+                    running[0].enqueue_follow_up(message)
             case _:
                 raise ProtocolViolation(f"a frame of unknown kind {frame.kind}")
 
@@ -322,10 +322,10 @@
 
         Most of what an idle process hears is news, and a task for each costs more than the news.
         """
-        if self._node.on_notice is None:
+        if self._node.on_notification is None:
             return False
         try:
-            return self._node.on_notice(self, message)
+            return self._node.on_notification(self, message)
         except LacewingError as error:
             log.info("peer_notice_refused", peer=self.remote.host, error=error)
         except Exception:
@@ -377,13 +377,13 @@
         revision: Callable[[], int] = lambda: 0,
         on_revision: Callable[[PeerLink, int], None] | None = None,
         on_link: Callable[[PeerLink], None] | None = None,
-        on_notice: Callable[[PeerLink, Message], bool] | None = None,
+        on_notification: Callable[[PeerLink, Message], bool] | None = None,
     ) -> None:
         self.identity = identity
         self.sent_bytes = 0
         self.handler = handler
         self.revision = revision
-        self.on_notice = on_notice
+        self.on_notification = on_notification
         self._network = network
         self._key = fleet_key.encode()
         self._on_revision = on_revision
@@ -449,12 +449,12 @@
         self._links[key] = link
         return link
 
-    def open_link(self, address: str) -> PeerLink | None:
+    def find_open_link(self, address: str) -> PeerLink | None:
         """Return the link to `address` if one is open."""
         known = self._links.get((address, ""))
         return None if known is None or known.closed.is_set() else known
 
-    def notify_open(self, address: str, message: Message) -> None:
+    def notify_if_open(self, address: str, message: Message) -> None:
         """Send a message on the link to `address`, if one is open; else do nothing."""
         known = self._links.get((address, ""))
         if known is not None:
@@ -473,7 +473,7 @@
         link = await self.link(address, lane)
         return await link.call(message, timeout_s)
 
-    def saw_revision(self, link: PeerLink, revision: int) -> None:
+    def report_revision(self, link: PeerLink, revision: int) -> None:
         """Tell whoever follows the configuration that `link` has seen `revision`."""
         if self._on_revision is not None and revision > self.revision():
             self._on_revision(link, revision)
--- a/src/lacewinggw/wire/soundness.py
+++ b/src/lacewinggw/wire/validation.py
@@ -12,7 +12,7 @@
 from lacewinggw.generated.messages.ttypes import Heartbeat, TargetState
 
 
-def require_sound(report: Any) -> None:
+def require_valid(report: Any) -> None:
     """Raise `ProtocolViolation` unless each field is there, and each number finite and not below 0.
 
     Structs within the report are checked as well. It is for reports whose every field must be told.
@@ -24,9 +24,9 @@
         _require_sound_value(getattr(report, name), kind.__name__, name)
 
 
-def require_sound_heartbeat(heartbeat: Heartbeat) -> None:
+def require_valid_heartbeat(heartbeat: Heartbeat) -> None:
     """Raise `ProtocolViolation` for a heartbeat that is not sound, or tells of an unknown state."""
-    require_sound(heartbeat)
+    require_valid(heartbeat)
     if heartbeat.state not in set(TargetState):
         raise ProtocolViolation(f"a Heartbeat of the unknown state {heartbeat.state}")
 
@@ -44,7 +44,7 @@
         case str() | bytes():
             return
         case struct:
-            require_sound(struct)
+            require_valid(struct)
 
 
 @cache
--- a/tests/fleet/test_events.py
+++ b/tests/fleet/test_events.py
@@ -18,13 +18,13 @@
     events = [event for piece in pieces for event in splitter.feed(piece)]
     assert [event.number for event in events] == [1, 2, None]
     assert b"".join(event.data for event in events) == STREAM
-    assert not splitter.is_torn
+    assert not splitter.has_partial_event
 
 
 def test_an_incomplete_event_is_torn():
     splitter = EventSplitter()
     assert [event.number for event in splitter.feed(STREAM + b"id: 3\nda")] == [1, 2, None]
-    assert splitter.is_torn
+    assert splitter.has_partial_event
 
 
 def test_an_endless_event_is_refused():
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -39,7 +39,7 @@
     _, server, client = await start_pair(handler)
     link = await client.link(server.address)
     assert link.remote.host == "host-10.0.0.1"
-    replies = [reply.note async for reply in link.open(messages.FetchLog(0, 1)).replies()]
+    replies = [reply.note async for reply in link.start_call(messages.FetchLog(0, 1)).replies()]
     assert replies == ["one", "two"]
     await client.close()
     await server.close()
@@ -149,7 +149,7 @@
         handled.append(exchange.message.note)
 
     network = MemoryNetwork()
-    alpha = make_node(network, "10.0.0.1", handle, on_notice=take)
+    alpha = make_node(network, "10.0.0.1", handle, on_notification=take)
     await alpha.start("10.0.0.1:7000")
     beta = make_node(network, "10.0.0.2", handle)
     link = await beta.link("10.0.0.1:7000")
