--- a/src/lacewinggw/wire/__init__.py
+++ b/src/lacewinggw/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Networks, HTTP and frames: how processes talk."""
+"""Networks, HTTP and binary frames: communication between processes."""
--- a/src/lacewinggw/wire/events.py
+++ b/src/lacewinggw/wire/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events in a stream of bytes: whole ones only, each with its id."""
+"""Parsing of server-sent events: splits a byte stream into complete events with their ids."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One event as it travels; `number` is its id, None where it has none."""
+    """One event in its encoded form; `number` is its id, or None if it has no numeric id."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Splits bytes, read as they come, into whole events.
+    """Splits a stream of bytes into complete events.
 
     for event in splitter.feed(data): ...
-    splitter.is_torn  # at the end of the stream: it broke off inside an event
+    splitter.has_partial_event  # at the end of the stream: True if it ended inside an event
     """
 
     def __init__(self) -> None:
@@ -30,19 +30,22 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether part of an event is at hand."""
+        """Whether part of an event is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[StreamEvent]:
-        """Yield each event that is whole now."""
+        """Yield each event that `data` completes.
+
+        Raises `AnswerIncomplete` when an unfinished event exceeds `EVENT_LIMIT_BYTES`.
+        """
         *events, self._buffer = (self._buffer + data).split(EVENT_END)
         if len(self._buffer) > EVENT_LIMIT_BYTES:
-            raise AnswerIncomplete(f"an event of the target is over {EVENT_LIMIT_BYTES} bytes")
+            raise AnswerIncomplete(f"an event of the target exceeds {EVENT_LIMIT_BYTES} bytes")
         for event in events:
-            yield StreamEvent(event + EVENT_END, _number_of(event))
+            yield StreamEvent(event + EVENT_END, _parse_id(event))
 
 
-def _number_of(event: bytes) -> int | None:
+def _parse_id(event: bytes) -> int | None:
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
             number = line.removeprefix(ID_FIELD).strip()
--- a/src/lacewinggw/wire/frames.py
+++ b/src/lacewinggw/wire/frames.py
@@ -1,4 +1,7 @@
-"""Frames between lacewinggw processes: a length, then a thrift `Frame` in the compact protocol."""
+"""Frames between lacewinggw processes.
+
+A frame is a big-endian length, then a thrift `Frame` in the compact protocol.
+"""
 
 from collections.abc import Iterator
 from typing import Any
@@ -23,7 +26,7 @@
 
 
 class _Source:
-    """Bytes to decode, with the limits, as thrift's C decoder looks them up on a protocol."""
+    """Input of thrift's C decoder, which reads the buffer and the size limits as attributes."""
 
     __slots__ = ("trans",)
 
@@ -42,20 +45,20 @@
 
 
 def decode_struct(struct: Any, data: bytes) -> Any:
-    """Fill `struct` from bytes in the compact protocol, and return it.
+    """Fill `struct` from bytes in the compact protocol and return it.
 
-    Raises `ProtocolViolation` when the bytes are not one whole struct.
+    Raises `ProtocolViolation` when the bytes are not one complete struct.
     """
     kind = type(struct)
     try:
         fastbinary.decode_compact(struct, _Source(data), [kind, kind.thrift_spec])
     except (TException, EOFError, TypeError, ValueError, OverflowError, MemoryError) as error:
-        raise ProtocolViolation(f"bytes that are not a {kind.__name__}: {error}") from error
+        raise ProtocolViolation(f"cannot decode a {kind.__name__}: {error}") from error
     return struct
 
 
 def encode_frame(call: int, kind: messages.FrameKind, revision: int, message: Message) -> bytes:
-    """Encode one frame, its length in front."""
+    """Return one encoded frame, prefixed with its length."""
     body = messages.Body()
     setattr(body, _FIELD_OF_KIND[type(message)], message)
     payload = encode_struct(messages.Frame(call, kind, revision, body))
@@ -63,33 +66,33 @@
 
 
 def decode_frame(payload: bytes) -> messages.Frame:
-    """Decode one frame, without its length; raise `ProtocolViolation` when it is malformed."""
+    """Decode one frame without its length; raise `ProtocolViolation` when it is malformed."""
     frame: messages.Frame = decode_struct(messages.Frame(), payload)
     if frame.call is None or frame.kind is None or frame.body is None:
-        raise ProtocolViolation("a frame without call, kind or body")
+        raise ProtocolViolation("the frame lacks its call, kind or body")
     return frame
 
 
 def message_of(frame: messages.Frame) -> Message:
-    """Return the one message that the frame carries."""
+    """Return the message in a frame's body; raise `ProtocolViolation` when its type is unknown."""
     body = frame.body
     for name in _FIELDS:
         message = getattr(body, name)
         if message is not None:
             return message
-    raise ProtocolViolation("a frame with an unknown message")
+    raise ProtocolViolation("the frame contains no message of a known type")
 
 
 async def read_frame(stream: Stream, limit_bytes: int = FRAME_LIMIT_BYTES) -> messages.Frame:
-    """Read the next frame; raise `FrameTooLarge` before it costs memory."""
+    """Read the next frame; raise `FrameTooLarge` before an oversized one is read into memory."""
     size = int.from_bytes(await stream.readexactly(LENGTH_BYTES), "big")
     if size > limit_bytes:
-        raise FrameTooLarge(f"a frame of {size} bytes is over the limit of {limit_bytes}")
+        raise FrameTooLarge(f"a frame of {size} bytes exceeds the limit of {limit_bytes}")
     return decode_frame(await stream.readexactly(size))
 
 
 class FrameSplitter:
-    """Splits a stream of bytes, read as it comes, into frames.
+    """Splits a stream of bytes into frames.
 
     splitter = FrameSplitter()
     for frame in splitter.feed(data): ...
@@ -100,9 +103,10 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[messages.Frame]:
-        """Yield each frame that is whole now.
+        """Yield each frame that `data` completes.
 
-        Raise `FrameTooLarge` once the length of one is known, before it costs memory.
+        Raises `FrameTooLarge` as soon as the length of an oversized frame is known, before its
+        bytes are buffered, and `ProtocolViolation` for a malformed frame.
         """
         buffer = self._buffer
         buffer += data
@@ -112,7 +116,7 @@
                 begin = start + LENGTH_BYTES
                 size = int.from_bytes(buffer[start:begin], "big")
                 if size > self._limit_bytes:
-                    raise FrameTooLarge(f"a frame of {size} bytes is over {self._limit_bytes}")
+                    raise FrameTooLarge(f"a frame of {size} bytes exceeds {self._limit_bytes}")
                 if len(buffer) < begin + size:
                     return
                 start = begin + size
--- a/src/lacewinggw/wire/headervalues.py
+++ b/src/lacewinggw/wire/headervalues.py
@@ -1,4 +1,4 @@
-"""Values of headers as numbers and times; what cannot be read counts as not said.
+"""Parsing of header values as numbers and times; malformed values count as absent.
 
 retry_after_s = read_retry_after({"retry-after": "1.5"})
 """
@@ -11,7 +11,7 @@
 
 
 def read_int(text: str | None) -> int | None:
-    """Return a whole number that is not negative.
+    """Return a non-negative integer, or None for any other text.
 
     >>> read_int("12"), read_int("-1"), read_int(None)
     (12, None, None)
@@ -22,7 +22,7 @@
 
 
 def read_float(text: str | None) -> float | None:
-    """Return a finite number that is not negative.
+    """Return a finite non-negative number, or None for any other text.
 
     >>> read_amount("1.5"), read_amount("inf"), read_amount("-1")
     (1.5, None, None)
@@ -35,10 +35,11 @@
 
 
 def read_retry_after(headers: Headers) -> float | None:
-    """Return the seconds of `Retry-After`, a number or a date (RFC 9110, section 10.2.3).
+    """Return the delay of `Retry-After`, a number or a date (RFC 9110, section 10.2.3), in seconds.
 
-    A date counts from the answer's own `Date`, so that clocks of two hosts are not compared, where
-    there is one. A moment that has passed asks for nothing.
+    A date is relative to the response's `Date` header, so that the clocks of two hosts are not
+    compared; without that header it is relative to the local clock. Returns None when the header
+    is absent or malformed, or the delay is zero or in the past.
     """
     text = headers.get("retry-after")
     if text is None:
--- a/src/lacewinggw/wire/http.py
+++ b/src/lacewinggw/wire/http.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 over any `Network`, by h11 on both sides.
+"""HTTP/1.1 client and server over any `Network`, based on h11.
 
 Every read has a size and a time limit. A handler turns a `Request` into a `Response`, whose body is
-bytes or an asynchronous iterator of pieces, sent chunked as they come. When such an iterator fails,
-the connection is cut, so that the caller can tell a truncated body from a whole one.
+bytes or an asynchronous iterator of pieces, which are sent chunked as they are produced. When such
+an iterator fails, the connection is closed before the final chunk, so that the caller can
+distinguish a truncated body from a complete one.
 """
 
 import asyncio
@@ -22,20 +23,20 @@
 READ_BYTES = 1 << 16
 MAX_IDLE_CONNECTIONS = 32
 CONNECT_SHARE = 0.5
-# Of an answer that keeps coming: half a megabyte at 200 kbit/s. What a store told so long ago is no
-# longer of use to anybody.
+# Time added to the timeout for a response that keeps arriving: 20 s transfer 0.5 MB at 200 kbit/s.
+# A store's response that takes longer is outdated when it is complete.
 MAX_RESPONSE_S = 20.0
 JSON_TYPE = "application/json"
 
 log = get_logger(__name__)
 
 Headers = dict[str, str]
-HeaderList = Sequence[tuple[str, str]]  # in order, names as written, a name more than once
+HeaderList = Sequence[tuple[str, str]]  # keeps order and case, and allows repeated names
 
 
 @dataclass(frozen=True)
 class HttpLimits:
-    """Bounds on one side of a connection: bytes of a body and of the head, and seconds idle."""
+    """Limits for one side of a connection: sizes of body and head, and idle and read timeouts."""
 
     body_bytes: int = 64 << 20
     head_bytes: int = 32 << 10
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A request as received; header names are in lower case, the path is decoded."""
+    """A received request; header names are in lower case and the path is percent-decoded."""
 
     method: str
     path: str
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A response to send, or as received whole."""
+    """A response to send, or one received completely."""
 
     status: int
     headers: Headers = field(default_factory=dict)
@@ -64,7 +65,7 @@
 
     @property
     def content(self) -> bytes:
-        """The body, of a response that is whole."""
+        """The body as bytes; it must not be a stream."""
         assert isinstance(self.body, bytes), "the body of this response is a stream"
         return self.body
 
@@ -77,7 +78,7 @@
 
 
 class HttpError(Exception):
-    """The other side broke the protocol or a limit; `status` is the refusal that fits."""
+    """The peer violated the protocol or a limit; `status` is the matching HTTP status."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -102,7 +103,7 @@
     """Return the next h11 event, reading from the stream as needed.
 
     Raises `ConnectionResetError` when the stream ends inside a message, and
-    `h11.RemoteProtocolError` for bytes that are no HTTP.
+    `h11.RemoteProtocolError` for bytes that are not valid HTTP.
     """
     ended = False
     while True:
@@ -110,7 +111,7 @@
             event = connection.next_event()
         except h11.RemoteProtocolError as error:
             if ended:
-                raise ConnectionResetError("the connection ended too soon") from error
+                raise ConnectionResetError("the connection closed inside a message") from error
             raise
         if event is not h11.NEED_DATA:
             return event
@@ -123,7 +124,7 @@
 async def _read_body(
     connection: h11.Connection, stream: Stream, limits: HttpLimits, timeout_s: float
 ) -> bytes:
-    """Read a body to its end; raise `BodyTooLarge` once it passes the limit."""
+    """Read a complete body; raise `BodyTooLarge` once it exceeds the limit."""
     parts: list[bytes] = []
     size = 0
     while True:
@@ -131,32 +132,32 @@
         if isinstance(event, h11.EndOfMessage):
             return b"".join(parts)
         if not isinstance(event, h11.Data):
-            raise ConnectionResetError("the connection ended inside a body")
+            raise ConnectionResetError("the connection closed before the end of the body")
         size += len(event.data)
         if size > limits.body_bytes:
-            raise BodyTooLarge(f"the body is over {limits.body_bytes} bytes")
+            raise BodyTooLarge(f"the body exceeds {limits.body_bytes} bytes")
         parts.append(bytes(event.data))
 
 
 async def _end_body(body: AsyncIterable[bytes]) -> None:
-    """Run a body's clean-up now: an error may keep it alive until garbage collection."""
+    """Close a body iterator now; an exception may keep it alive until garbage collection."""
     close = getattr(body, "aclose", None)
     if close is not None:
         await close()
 
 
 class HttpServer:
-    """Serve one handler at one address.
+    """Serves one handler at one address.
 
-    `close(grace_s)` stops accepting, lets requests in progress end for up to `grace_s` seconds,
-    then cuts what is left.
+    `close(grace_s)` stops accepting, waits up to `grace_s` seconds for requests in progress, then
+    closes the remaining connections.
     """
 
     def __init__(
         self, network: Network, address: str, handler: Handler, limits: HttpLimits | None = None
     ) -> None:
         self._network = network
-        self._asked_address = address
+        self._requested_address = address
         self._handler = handler
         self._limits = limits or HttpLimits()
         self._listener: Listener | None = None
@@ -166,16 +167,16 @@
 
     @property
     def address(self) -> str:
-        """The bound address, once started."""
-        assert self._listener is not None, "start() comes first"
+        """The bound address; `start` must have completed."""
+        assert self._listener is not None, "call start() first"
         return self._listener.address
 
     async def start(self) -> None:
-        """Bind and accept."""
-        self._listener = await self._network.listen(self._asked_address, self._accept)
+        """Bind the address and start to accept connections."""
+        self._listener = await self._network.listen(self._requested_address, self._accept)
 
     async def close(self, grace_s: float = 0.0) -> None:
-        """Stop accepting, wait for requests in progress, then cut the rest."""
+        """Stop accepting, wait up to `grace_s` for requests in progress, then close the rest."""
         self._closing = True
         if self._listener is not None:
             await self._listener.close()
@@ -215,7 +216,7 @@
                 self._busy.add(task)
                 request = await self._read_request(connection, stream, event)
             except h11.RemoteProtocolError as error:
-                refusal = MalformedHttp(f"not HTTP as it should be: {error}")
+                refusal = MalformedHttp(f"malformed HTTP: {error}")
                 await self._refuse(connection, stream, refusal, error.error_status_hint)
                 return
             except BodyTooLarge as error:
@@ -229,9 +230,9 @@
             connection.start_next_cycle()
 
     async def _answer(self, request: Request) -> Response:
-        """Return the handler's response, or a 500 when it fails by a fault of its own.
+        """Return the handler's response, or status 500 when it raises an unexpected exception.
 
-        A handler that raises `OSError` means to lose the connection.
+        An `OSError` is passed on: a handler raises it to drop the connection without a response.
         """
         try:
             return await self._handler(request)
@@ -239,7 +240,7 @@
             raise
         except Exception:
             log.exception("http_handler_failed", method=request.method, path=request.path)
-            error = LacewingError("the process failed to answer")
+            error = LacewingError("the request handler failed")
             return Response(error.http_status, problem_headers(error), problem_body(error))
 
     async def _read_request(
@@ -247,8 +248,8 @@
     ) -> Request:
         headers = _decode_headers(event.headers)
         if connection.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            stream.write(connection.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            stream.write(connection.send(continue_response) or b"")
         body = await _read_body(connection, stream, self._limits, self._limits.read_s)
         parts = urlsplit(event.target.decode("latin-1"))
         query = dict(parse_qsl(parts.query, keep_blank_values=True))
@@ -293,7 +294,7 @@
 
 
 class StreamedResponse:
-    """A response whose body is still arriving; `aclose` gives it up."""
+    """A response whose body is still arriving; `aclose` abandons it."""
 
     def __init__(
         self,
@@ -313,73 +314,73 @@
         self._ended = False
 
     async def pieces(self) -> AsyncGenerator[bytes, None]:
-        """Yield the body as it arrives; raise `OSError` when it is cut short.
+        """Yield the body as it arrives; raise `OSError` when it is truncated.
 
-        What came in one read is yielded together.
+        Data received in one read is yielded as one piece.
         """
         event = await self._next_event()
         while isinstance(event, h11.Data):
             parts = [event.data]
-            event = self._event_at_hand()
+            event = self._buffered_event()
             while isinstance(event, h11.Data):
                 parts.append(event.data)
-                event = self._event_at_hand()
+                event = self._buffered_event()
             yield b"".join(parts)
             if event is h11.NEED_DATA:
                 event = await self._next_event()
         if not isinstance(event, h11.EndOfMessage):
-            raise ConnectionResetError("the connection ended inside a body")
+            raise ConnectionResetError("the connection closed before the end of the body")
         self._ended = True
         self._release(self._stream, self._connection)
 
-    def _event_at_hand(self) -> Any:
-        """Return the next event, or `NEED_DATA` when it takes another read."""
+    def _buffered_event(self) -> Any:
+        """Return the next event from buffered data, or `NEED_DATA` if another read is needed."""
         try:
             return self._connection.next_event()
         except h11.RemoteProtocolError as error:
-            raise ConnectionResetError(f"the body broke off: {error}") from error
+            raise ConnectionResetError(f"the body ended early: {error}") from error
 
     async def _next_event(self) -> Any:
         try:
             return await _next_event(self._connection, self._stream, self._read_timeout_s)
         except h11.RemoteProtocolError as error:
-            raise ConnectionResetError(f"the body broke off: {error}") from error
+            raise ConnectionResetError(f"the body ended early: {error}") from error
 
     async def read(self, limit_bytes: int) -> bytes:
-        """Return the whole body; raise `HttpError` 413 past the limit."""
+        """Return the complete body; raise `HttpError` 413 when it exceeds `limit_bytes`."""
         parts: list[bytes] = []
         size = 0
         async for piece in self.pieces():
             size += len(piece)
             if size > limit_bytes:
                 await self.aclose()
-                raise HttpError(413, f"the body is over {limit_bytes} bytes")
+                raise HttpError(413, f"the body exceeds {limit_bytes} bytes")
             parts.append(piece)
         return b"".join(parts)
 
     async def aclose(self) -> None:
-        """Cut the connection unless the body was read to its end."""
+        """Reset the connection unless the body was read completely."""
         if not self._ended:
             self._ended = True
             self._stream.abort()
 
 
 class NotConnectedError(ConnectionRefusedError):
-    """No connection came about: the request was certainly not sent."""
+    """The connection could not be established, so the request was not sent."""
 
     @property
     def is_timeout(self) -> bool:
-        """Whether nothing answered in time, as opposed to a refusal."""
+        """Whether connecting timed out, as opposed to being refused."""
         return isinstance(self.__cause__, TimeoutError)
 
 
 class HttpClient:
-    """Make requests, keeping up to `idle_connections` per address for reuse.
+    """Makes requests, and keeps up to `idle_connections` per address for reuse.
 
-    Raises `NotConnectedError` when nothing was sent, other kinds of `OSError` (reset, cut short),
-    `TimeoutError`, and `HttpError` when the other side breaks the protocol. Connecting may take
-    `CONNECT_SHARE` of a request's time, so that a host that is gone is told from a slow reply. No
-    request is ever sent twice: callers decide on retries.
+    Raises `NotConnectedError` when nothing was sent, other kinds of `OSError` (reset, truncated),
+    `TimeoutError`, and `HttpError` when the peer violates the protocol. Connecting may take
+    `CONNECT_SHARE` of a request's timeout, so that an unreachable host is distinguished from a slow
+    response. The client never sends a request twice: callers decide on retries.
     """
 
     def __init__(
@@ -397,15 +398,15 @@
     async def close(self) -> None:
         """Close the idle connections."""
         self._closed = True
-        for kept in self._idle.values():
-            for stream, _ in kept:
+        for idle in self._idle.values():
+            for stream, _ in idle:
                 stream.close()
         self._idle.clear()
 
     async def refuses_connections(self, address: str, timeout_s: float) -> bool:
-        """Return whether an address refuses connections at once: no process listens there.
+        """Return whether an address refuses connections, which shows that no process listens there.
 
-        A host that is cut off does not answer, which proves nothing.
+        A timeout returns False: the host may only be cut off from the network.
         """
         try:
             stream = await self._connect(address, timeout_s)
@@ -425,13 +426,14 @@
         max_pause_s: float | None = None,
         connect_s: float | None = None,
     ) -> Response:
-        """Make a request and return its response whole, within `timeout_s` seconds.
+        """Make a request and return its complete response within `timeout_s` seconds.
 
-        Connecting takes `connect_s` at most, or its share of `timeout_s`.
+        Connecting takes at most `connect_s`, by default `CONNECT_SHARE` of `timeout_s`.
 
-        With `pause_s` the response has to begin within `timeout_s`, and may then take as long as it
-        keeps coming: no pause in it is longer than `pause_s`. For large answers over narrow links,
-        which a limit for the whole would cut off and have begun anew, time after time.
+        With `max_pause_s` the response must begin within `timeout_s`, may continue while no pause
+        between its pieces exceeds `max_pause_s`, and must end within `timeout_s + MAX_RESPONSE_S`.
+        This is for large responses over slow links: with `timeout_s` as the limit for the whole
+        response, each attempt would be cut off and restarted from the beginning.
         """
         limit_s = timeout_s if max_pause_s is None else timeout_s + MAX_RESPONSE_S
         read_s = timeout_s if max_pause_s is None else max_pause_s
@@ -465,15 +467,17 @@
         head_s: float | None = None,
         on_connected: Callable[[float], None] | None = None,
     ) -> StreamedResponse:
-        """Make a request and return once its head is there; each read waits up to `timeout_s`.
+        """Make a request and return once the head has arrived; each read waits up to `timeout_s`.
 
-        Connecting takes `connect_s` at most, or its share of `timeout_s`; the head is waited for up
-        to `head_s`, if given. A response that comes before the body of the request was taken is
-        read all the same. `on_connected` is told how many seconds connecting took; nothing is sent
-        if it raises.
+        Connecting takes at most `connect_s`, by default `CONNECT_SHARE` of `timeout_s`; the wait
+        for the head is limited by `head_s`, by default `timeout_s`. A response that arrives before
+        the request's body is sent completely is read as well. `on_connected` is called with the
+        connect time in seconds; nothing is sent if it raises.
         """
         began = asyncio.get_running_loop().time()
-        stream, connection = await self._take(address, connect_s or timeout_s * CONNECT_SHARE)
+        stream, connection = await self._acquire_connection(
+            address, connect_s or timeout_s * CONNECT_SHARE
+        )
         try:
             if on_connected is not None:
                 on_connected(asyncio.get_running_loop().time() - began)
@@ -483,18 +487,18 @@
             while isinstance(event, h11.InformationalResponse):
                 event = await _next_event(connection, stream, wait_s)
             if not isinstance(event, h11.Response):
-                raise ConnectionResetError(f"{address} closed the connection without an answer")
+                raise ConnectionResetError(f"{address} closed the connection without a response")
         except h11.RemoteProtocolError as error:
             stream.close()
-            raise HttpError(502, f"{address} broke HTTP: {error}") from error
+            raise HttpError(502, f"{address} violated HTTP: {error}") from error
         except BaseException:
-            # A request that was given up must not arrive later, out of a queue of the link.
+            # Reset, so that queued bytes of the abandoned request are not delivered later.
             stream.abort()
             raise
         received = _decode_headers(event.headers)
 
         def release(stream: Stream, connection: h11.Connection) -> None:
-            self._keep(address, stream, connection)
+            self._return_connection(address, stream, connection)
 
         return StreamedResponse(event.status_code, received, connection, stream, timeout_s, release)
 
@@ -525,13 +529,15 @@
             async with asyncio.timeout(timeout_s):
                 return await self._network.connect(address)
         except (OSError, TimeoutError) as error:
-            reason = str(error) or f"{address} does not answer"
+            reason = str(error) or f"{address} does not respond"
             raise NotConnectedError(reason) from error
 
-    async def _take(self, address: str, connect_s: float) -> tuple[Stream, h11.Connection]:
-        kept = self._idle.get(address, [])
-        while kept:
-            stream, connection = kept.pop()
+    async def _acquire_connection(
+        self, address: str, connect_s: float
+    ) -> tuple[Stream, h11.Connection]:
+        idle = self._idle.get(address, [])
+        while idle:
+            stream, connection = idle.pop()
             if not stream.ended:
                 return stream, connection
             stream.close()
@@ -539,11 +545,11 @@
         limit = self._limits.head_bytes
         return stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=limit)
 
-    def _keep(self, address: str, stream: Stream, connection: h11.Connection) -> None:
-        kept = self._idle.setdefault(address, [])
+    def _return_connection(self, address: str, stream: Stream, connection: h11.Connection) -> None:
+        idle = self._idle.setdefault(address, [])
         done = connection.our_state is h11.DONE and connection.their_state is h11.DONE
-        if not done or self._closed or len(kept) >= self._idle_connections:
+        if not done or self._closed or len(idle) >= self._idle_connections:
             stream.close()
             return
         connection.start_next_cycle()
-        kept.append((stream, connection))
+        idle.append((stream, connection))
--- a/src/lacewinggw/wire/network.py
+++ b/src/lacewinggw/wire/network.py
@@ -1,7 +1,7 @@
 """Byte streams between processes, over TCP or in memory.
 
-Everything that talks does so through a `Network`, so that the same code runs on sockets in a
-process and on in-memory streams under virtual time in a test.
+All communication goes through a `Network`, so that the same code runs on sockets in a process and
+on in-memory streams under virtual time in a test.
 """
 
 import asyncio
@@ -15,11 +15,13 @@
 
 READ_BUFFER_BYTES = 1 << 18
 CONNECT_TIMEOUT_S = 3.0
-ZERO_LINGER = struct.pack("ii", 1, 0)  # on, zero seconds: closing resets, and drops what waits
+ZERO_LINGER = struct.pack(
+    "ii", 1, 0
+)  # linger on, 0 s: close resets the connection, drops unsent data
 
 
 class Stream(Protocol):
-    """One ordered byte stream in both directions."""
+    """An ordered, bidirectional byte stream."""
 
     @property
     def ended(self) -> bool:
@@ -35,13 +37,13 @@
         """Queue bytes to be sent."""
 
     async def drain(self) -> None:
-        """Wait until the queue of bytes to be sent is short again."""
+        """Wait until the send buffer is below its limit."""
 
     def close(self) -> None:
-        """Close the stream at once; what is queued may still be sent."""
+        """Close the stream without waiting; queued bytes may still be sent."""
 
     def abort(self) -> None:
-        """Reset the stream: what the other side has not got by now it will not get."""
+        """Reset the stream; bytes that the peer has not received are discarded."""
 
     async def wait_closed(self) -> None:
         """Wait until the stream is closed."""
@@ -55,23 +57,23 @@
 
     @property
     def address(self) -> str:
-        """The bound address, with the port that the system chose where 0 was asked for."""
+        """The bound address, with the port that the system chose if port 0 was requested."""
 
     async def close(self) -> None:
-        """Stop accepting; streams already accepted go on."""
+        """Stop accepting; streams already accepted stay open."""
 
 
 class Network(Protocol):
-    """A way to listen and to connect."""
+    """Creates listeners and connections."""
 
     async def listen(self, address: str, accept: Accept) -> Listener:
-        """Accept connections at `address`; each runs `accept` in a task of its own.
+        """Accept connections at `address`; each runs `accept` in its own task.
 
-        Raise `ListenFailed` when the address is taken, or not one of this host's.
+        Raises `ListenFailed` when the address is in use or does not belong to this host.
         """
 
     async def connect(self, address: str) -> Stream:
-        """Connect; raise `OSError` when nobody listens there or no answer comes in time."""
+        """Connect; raise `OSError` when the connection is refused or times out."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -105,25 +107,25 @@
         self._writer.write(data)
 
     async def drain(self) -> None:
-        """Wait until the queue of bytes to be sent is short again."""
+        """Wait until the send buffer is below its limit."""
         await self._writer.drain()
 
     def close(self) -> None:
-        """Close the stream at once; what is queued may still be sent."""
+        """Close the stream without waiting; queued bytes may still be sent."""
         self._writer.close()
 
     def abort(self) -> None:
-        """Reset the stream: what the other side has not got by now it will not get.
+        """Reset the stream; bytes that the peer has not received are discarded.
 
-        Without a linger time of nothing the kernel would go on sending what it holds.
+        Without a linger time of zero the kernel continues to send its buffered data.
         """
         with suppress(OSError):
-            peer = self._writer.get_extra_info("socket")
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
+            sock = self._writer.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self._writer.transport.abort()
 
     async def wait_closed(self) -> None:
-        """Wait until the stream is closed, however it ended."""
+        """Wait until the stream is closed, whether cleanly or by an error."""
         try:
             await self._writer.wait_closed()
         except OSError:
@@ -143,23 +145,23 @@
         return f"{ip}:{port}"
 
     async def close(self) -> None:
-        """Stop accepting; streams already accepted go on."""
+        """Stop accepting; streams already accepted stay open."""
         self._server.close()
 
 
 class TcpNetwork:
-    """The network of the operating system.
+    """TCP network of the operating system.
 
-    Addresses are "ip:port" with IP numbers; port 0 asks the system to choose one.
+    Addresses are "ip:port" with a numeric IP address; port 0 lets the system choose one.
     """
 
     def __init__(self, connect_timeout_s: float = CONNECT_TIMEOUT_S) -> None:
         self._connect_timeout_s = connect_timeout_s
 
     async def listen(self, address: str, accept: Accept) -> Listener:
-        """Accept connections at `address`; each runs `accept` in a task of its own.
+        """Accept connections at `address`; each runs `accept` in its own task.
 
-        Raise `ListenFailed` when the address is taken, or not one of this host's.
+        Raises `ListenFailed` when the address is in use or does not belong to this host.
         """
         ip, port = split_address(address)
 
@@ -180,7 +182,7 @@
         return TcpListener(server)
 
     async def connect(self, address: str) -> Stream:
-        """Connect; raise `OSError` when nobody listens there or no answer comes in time."""
+        """Connect; raise `OSError` when the connection is refused or times out."""
         ip, port = split_address(address)
         opening = asyncio.open_connection(ip, port, limit=READ_BUFFER_BYTES)
         reader, writer = await asyncio.wait_for(opening, self._connect_timeout_s)
--- a/src/lacewinggw/wire/packing.py
+++ b/src/lacewinggw/wire/packing.py
@@ -1,6 +1,6 @@
-"""Routes as they travel between entries: packed, and in parts.
+"""Compression of routes for transfer between entries, and their division into parts.
 
-Parts show a receiver behind a narrow link that the rest is on its way.
+Each part shows a receiver behind a slow link that the transfer is making progress.
 """
 
 import zlib
@@ -8,28 +8,31 @@
 
 from lacewinggw.errors import ProtocolViolation
 
-PACK_LEVEL = 1  # 350 KB take 3 ms, and come out at 35
-PART_BYTES = 8192  # 0.13 s over a border that has 0.5 Mbit/s left for it
-ROUTES_LIMIT_BYTES = 16 << 20  # a store takes rows of some MB at most
+PACK_LEVEL = 1  # 350 KB take 3 ms and compress to 35 KB
+PART_BYTES = 8192  # 0.13 s over a link between regions with 0.5 Mbit/s available
+ROUTES_LIMIT_BYTES = 16 << 20  # the store limits rows to a few MB
 
 
 def pack_routes(source: bytes) -> bytes:
-    """Return routes as they travel between entries: a tenth of their size."""
+    """Return compressed routes, about a tenth of their size."""
     return zlib.compress(source, PACK_LEVEL)
 
 
 def unpack_routes(packed: bytes) -> bytes:
-    """Return what `pack_routes` was given; raise `ProtocolViolation` for anything else."""
+    """Return the input of `pack_routes`.
+
+    Raises `ProtocolViolation` for malformed data and for routes over `ROUTES_LIMIT_BYTES`.
+    """
     unpacker = zlib.decompressobj()
     try:
         source = unpacker.decompress(packed, ROUTES_LIMIT_BYTES)
     except zlib.error as error:
-        raise ProtocolViolation(f"routes that are not packed: {error}") from error
+        raise ProtocolViolation(f"cannot decompress routes: {error}") from error
     if unpacker.unconsumed_tail:
-        raise ProtocolViolation(f"routes of more than {ROUTES_LIMIT_BYTES} bytes")
+        raise ProtocolViolation(f"the decompressed routes exceed {ROUTES_LIMIT_BYTES} bytes")
     return source
 
 
 def split_parts(packed: bytes) -> Sequence[bytes]:
-    """Return packed routes in parts, to be joined by whoever gets them."""
+    """Split packed routes into parts of `PART_BYTES`, which the receiver joins again."""
     return [packed[start : start + PART_BYTES] for start in range(0, len(packed), PART_BYTES)]
--- a/src/lacewinggw/wire/pages.py
+++ b/src/lacewinggw/wire/pages.py
@@ -1,4 +1,4 @@
-"""The health pages of a process on one of its HTTP listeners."""
+"""HTTP handler for the health and metrics pages of a process."""
 
 from lacewinggw.errors import UnknownPath
 from lacewinggw.health import Health, Page
@@ -11,20 +11,20 @@
 
 
 class HealthPages:
-    """Answer `/metrics` and `/healthz`, and nothing else."""
+    """Serves `/metrics` and `/healthz`."""
 
     def __init__(self, health: Health) -> None:
         self._health = health
 
     def find(self, request: Request) -> Response | None:
-        """Return the page that a request asks for, or None when it asks for something else."""
+        """Return the page at the request's path, or None if the path is another."""
         page = self._health.page(request.path)
         return None if page is None else _to_response(page)
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request on a listener that has only these pages."""
+        """Answer a request on a listener that serves only these pages, and 404 for other paths."""
         page = self.find(request)
         if page is not None:
             return page
-        error = UnknownPath(f"{request.path} is not here", remedy="ask for /metrics or /healthz")
+        error = UnknownPath(f"no page at {request.path}", remedy="request /metrics or /healthz")
         return Response(error.http_status, problem_headers(error), problem_body(error))
--- a/src/lacewinggw/wire/peers.py
+++ b/src/lacewinggw/wire/peers.py
@@ -1,8 +1,9 @@
-"""Calls between lacewinggw processes: many at once on one connection, in both directions.
+"""Remote calls between lacewinggw processes, multiplexed on one connection in both directions.
 
 A `PeerNode` listens, connects and keeps one `PeerLink` per address and lane. Either side of a link
-may call the other. A call has one last reply and any number before it; while it goes on its caller
-may send it follow-ups (credit, cancel). Every frame carries the sender's configuration revision.
+may call the other. A call has any number of replies and one last reply; while it is in progress,
+its caller may send follow-ups (credit, cancel). Every frame carries the sender's configuration
+revision.
 """
 
 import asyncio
@@ -39,7 +40,7 @@
 HANDSHAKE_TIMEOUT_S = 5.0
 HANDSHAKE_LIMIT_BYTES = 4096
 NONCE_BYTES = 16
-NO_CALL = 0  # the number of a frame that nobody answers
+NO_CALL = 0  # call number of a frame that expects no reply
 MAX_FOLLOW_UPS = 1024
 READ_BYTES = 1 << 16
 
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """Who a process is: its host, role, place, incarnation and peer address ("" if none)."""
+    """A process's host, role, place, incarnation and peer address ("" if it has none)."""
 
     host: str
     role: messages.Role
@@ -58,19 +59,19 @@
 
     @classmethod
     def from_hello(cls, hello: messages.Hello) -> "Identity":
-        """Read an identity off the first frame of a connection."""
+        """Return the identity of a received `Hello`, the first message of a connection."""
         role = messages.Role(hello.role)
         return cls(hello.host, role, hello.place, hello.incarnation, hello.address)
 
     def to_hello(self, nonce: bytes) -> messages.Hello:
-        """Return the first frame that tells this identity."""
+        """Return the `Hello` message that carries this identity."""
         return messages.Hello(
             self.host, self.role, self.place, self.incarnation, nonce, self.address
         )
 
 
 class Exchange:
-    """One incoming call or notification, as its handler sees it."""
+    """One incoming call or notification, for use by its handler."""
 
     def __init__(self, link: "PeerLink", call: int, message: Message, wants_reply: bool) -> None:
         self.link = link
@@ -81,40 +82,40 @@
         self._follow_ups: asyncio.Queue[Message] = asyncio.Queue(MAX_FOLLOW_UPS)
 
     def reply(self, message: Message) -> None:
-        """Send a reply that is not the last."""
+        """Send a reply that more replies follow."""
         self.link.send(self._call, FrameKind.REPLY, message)
 
     def finish(self, message: Message) -> None:
-        """Send the last reply; only the first call of this counts."""
+        """Send the last reply; later calls of this method have no effect."""
         if self.done:
             return
         self.done = True
         self.link.send(self._call, FrameKind.LAST, message)
 
     def finish_without_reply(self) -> None:
-        """End without a last reply: the caller has said that it waits for none."""
+        """End without a last reply, because the caller has announced that it expects none."""
         self.done = True
 
     async def follow_up(self) -> Message:
-        """Wait for the caller's next follow-up."""
+        """Wait for the caller's next follow-up and return it."""
         return await self._follow_ups.get()
 
     def enqueue_follow_up(self, message: Message) -> None:
-        """Queue a follow-up that arrived; one too many is a breach of the protocol."""
+        """Queue a received follow-up; raise `ProtocolViolation` when the queue is full."""
         try:
             self._follow_ups.put_nowait(message)
         except asyncio.QueueFull as error:
-            raise ProtocolViolation("too many follow-ups on one call") from error
+            raise ProtocolViolation("too many unread follow-ups on one call") from error
 
 
 Handler = Callable[[Exchange], Awaitable[None]]
 
 
-Reply = tuple[Message, bool]  # a message, and whether it is the last one
+Reply = tuple[Message, bool]  # a message, and whether it is the last reply
 
 
-def _join(before: Reply | LacewingError, after: Reply | LacewingError) -> bool:
-    """Add pieces to the ones that they follow on; return False where they cannot be."""
+def _merge_pieces(before: Reply | LacewingError, after: Reply | LacewingError) -> bool:
+    """Append consecutive `Pieces` to the previous ones; return False if that is not possible."""
     match before, after:
         case (
             (messages.Pieces() as first, False),
@@ -128,10 +129,10 @@
 
 
 class OutgoingCall:
-    """One call in progress, as its caller sees it.
+    """One outgoing call in progress, for use by its caller.
 
-    Iterate over it for the replies, the last one included; `result` waits for the last alone.
-    Pieces that wait here together are taken together.
+    `replies` yields every reply including the last; `result` returns only the last. Consecutive
+    `Pieces` that are queued unread are merged into one reply.
     """
 
     def __init__(self, link: "PeerLink", call: int) -> None:
@@ -142,12 +143,12 @@
         self._ended = False
 
     def send_follow_up(self, message: Message) -> None:
-        """Send a follow-up to the handler of this call."""
+        """Send a follow-up to the handler of this call, unless the call has ended."""
         if not self._ended:
             self._link.send(self._call, FrameKind.FOLLOW, message)
 
     async def replies(self) -> AsyncIterator[Message]:
-        """Yield each reply; raise the typed error that the other side sent, or `ConnectionLost`."""
+        """Yield each reply; raise the typed error that the peer sent, or `ConnectionLost`."""
         while not self._ended:
             if not self._replies:
                 self._arrival = asyncio.get_running_loop().create_future()
@@ -172,19 +173,19 @@
                     last = message
         except TimeoutError as error:
             self.send_follow_up(messages.Cancel("timed out"))
-            raise TimedOut(f"no answer from {self._link.remote.host}") from error
+            raise TimedOut(f"no reply from {self._link.remote.host}") from error
         finally:
             self.abandon()
         return last
 
     def abandon(self) -> None:
-        """Stop taking replies."""
+        """Stop receiving replies; later ones are discarded."""
         self._ended = True
         self._link.remove_call(self._call)
 
     def enqueue_reply(self, item: Reply | LacewingError) -> None:
-        """Queue a reply that arrived, or the loss of the connection."""
-        if self._replies and _join(self._replies[-1], item):
+        """Queue a received reply, or the error for a lost connection."""
+        if self._replies and _merge_pieces(self._replies[-1], item):
             return
         self._replies.append(item)
         if self._arrival is not None and not self._arrival.done():
@@ -200,20 +201,20 @@
         self.closed = asyncio.Event()
         self._node = node
         self._stream = stream
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
         self._calls: dict[int, OutgoingCall] = {}
         self._exchanges: dict[int, tuple[Exchange, asyncio.Task[None]]] = {}
         self._unsent: list[bytes] = []
 
     def notify(self, message: Message) -> None:
-        """Send a message that has no answer; lost without a word if the link is closed."""
+        """Send a message that has no reply; it is dropped silently if the link is closed."""
         self.send(NO_CALL, FrameKind.NOTIFY, message)
 
     def start_call(self, message: Message) -> OutgoingCall:
-        """Start a call; raise `ConnectionLost` when the link is closed already."""
+        """Start a call; raise `ConnectionLost` when the link is already closed."""
         if self.closed.is_set():
             raise ConnectionLost(f"the link to {self.remote.host} is closed")
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         call = OutgoingCall(self, number)
         self._calls[number] = call
         self.send(number, FrameKind.REQUEST, message)
@@ -222,18 +223,18 @@
     async def call(self, message: Message, timeout_s: float) -> Message:
         """Make a call with one reply and return it.
 
-        Raises the typed error of the other side, `TimedOut` or `ConnectionLost`; after either
-        of these two the call may have been carried out.
+        Raises the typed error that the peer sent, `TimedOut` or `ConnectionLost`. After the last
+        two the peer may have executed the call.
         """
         return await self.start_call(message).result(timeout_s)
 
     def send(self, call: int, kind: FrameKind, message: Message) -> None:
-        """Queue a frame; frames queued in one turn of the loop leave in one write."""
+        """Queue a frame; frames queued in one iteration of the event loop are sent in one write."""
         if not self.closed.is_set():
             self.queue(encode_frame(call, kind, self._node.revision(), message))
 
     def queue(self, frame: bytes) -> None:
-        """Queue a frame that is encoded already, unless the link is closed."""
+        """Queue an encoded frame, unless the link is closed."""
         if self.closed.is_set():
             return
         if not self._unsent:
@@ -241,33 +242,36 @@
         self._unsent.append(frame)
 
     async def drain(self) -> None:
-        """Wait until little is queued, so that a fast sender cannot fill the memory."""
+        """Wait until the send buffer is below its limit, so that a fast sender cannot fill memory.
+
+        Raises `ConnectionLost` when the connection fails.
+        """
         self._flush()
         try:
             await self._stream.drain()
         except OSError as error:
-            raise ConnectionLost(f"the link to {self.remote.host} broke") from error
+            raise ConnectionLost(f"the link to {self.remote.host} was lost") from error
 
     def remove_call(self, call: int) -> None:
-        """Drop a call that is over."""
+        """Remove a call that has ended."""
         self._calls.pop(call, None)
 
     def close(self) -> None:
-        """Send what is queued, then close; calls in progress raise `ConnectionLost`."""
+        """Send queued frames, then close; calls in progress raise `ConnectionLost`."""
         if self.closed.is_set():
             return
         self._flush()
         self._end()
 
     async def run(self) -> None:
-        """Read frames until the link ends."""
+        """Read and dispatch frames until the link is closed."""
         try:
             splitter = FrameSplitter()
             while data := await self._stream.read(READ_BYTES):
                 for frame in splitter.feed(data):
                     self._dispatch(frame)
                 if len(data) == READ_BYTES:
-                    await asyncio.sleep(0)  # more waits: let what came be dealt with first
+                    await asyncio.sleep(0)  # more data is waiting: let handlers run first
         except (OSError, EOFError, TimeoutError):
             pass
         except WireError as error:
@@ -292,7 +296,7 @@
         self.closed.set()
         self._stream.close()
         for call in list(self._calls.values()):
-            call.enqueue_reply(ConnectionLost(f"the link to {self.remote.host} broke"))
+            call.enqueue_reply(ConnectionLost(f"the link to {self.remote.host} was lost"))
         for _, task in list(self._exchanges.values()):
             task.cancel()
 
@@ -306,10 +310,10 @@
                 call = self._calls.get(frame.call)
                 if call is not None:
                     call.enqueue_reply((message, frame.kind == FrameKind.LAST))
-            case FrameKind.NOTIFY if self._take_notice(message):
+            case FrameKind.NOTIFY if self._handle_notification(message):
                 return
             case FrameKind.REQUEST | FrameKind.NOTIFY:
-                self._begin(frame, message)
+                self._start_handler(frame, message)
             case FrameKind.FOLLOW:
                 running = self._exchanges.get(frame.call)
                 if running is not None:
@@ -317,10 +321,11 @@
             case _:
                 raise ProtocolViolation(f"a frame of unknown kind {frame.kind}")
 
-    def _take_notice(self, message: Message) -> bool:
-        """Have a notification dealt with here and now; return whether it was.
+    def _handle_notification(self, message: Message) -> bool:
+        """Handle a notification synchronously; return False if it is left to the handler.
 
-        Most of what an idle process hears is news, and a task for each costs more than the news.
+        Most messages that an idle process receives are notifications, and a task for each costs
+        more than handling it.
         """
         if self._node.on_notification is None:
             return False
@@ -333,11 +338,11 @@
             log.exception("peer-handler-failed", peer=self.remote.host, message=kind)
         return True
 
-    def _begin(self, frame: messages.Frame, message: Message) -> None:
+    def _start_handler(self, frame: messages.Frame, message: Message) -> None:
         wants_reply = frame.kind == FrameKind.REQUEST
         exchange = Exchange(self, frame.call, message, wants_reply)
         task = asyncio.get_running_loop().create_task(self._handle(exchange))
-        key = frame.call if wants_reply else -next(self._numbers)
+        key = frame.call if wants_reply else -next(self._call_numbers)
         self._exchanges[key] = (exchange, task)
         task.add_done_callback(lambda _: self._exchanges.pop(key, None))
 
@@ -352,20 +357,20 @@
             kind = type(exchange.message).__name__
             log.exception("peer-handler-failed", peer=self.remote.host, message=kind)
             exchange.finish(
-                ProtocolViolation(f"{kind} could not be handled: {error!r}").to_failure()
+                ProtocolViolation(f"the handler of {kind} raised {error!r}").to_failure()
             )
 
 
 class PeerNode:
-    """This process among the others: its listener, its links and its handler.
+    """The peer endpoint of this process: its listener, its links and its handler.
 
     node = PeerNode(network, identity, fleet_key, handler, revision=lambda: 0)
     await node.start("10.0.0.1:7000")
     link = await node.link("10.0.0.2:7000")
     reply = await link.call(messages.FetchLog(0, 100), timeout_s=2.0)
 
-    `on_notice` deals with notifications without waiting for anything, and returns False for those
-    that are left to `handler`.
+    `on_notification` handles notifications synchronously, and returns False for those that it
+    leaves to `handler`.
     """
 
     def __init__(
@@ -398,16 +403,16 @@
     @property
     def address(self) -> str:
         """The bound address of the listener."""
-        assert self._listener is not None, "start() comes first"
+        assert self._listener is not None, "call start() first"
         return self._listener.address
 
     @property
     def links(self) -> frozenset[PeerLink]:
-        """Every open link, in either direction."""
+        """All open links, incoming and outgoing."""
         return frozenset(self._all_links)
 
     async def start(self, address: str) -> None:
-        """Listen for other processes."""
+        """Listen at `address`, and add the bound address to this node's identity."""
         self._listener = await self._network.listen(address, self._accept)
         identity = self.identity
         self.identity = Identity(
@@ -415,7 +420,7 @@
         )
 
     async def stop_listening(self) -> None:
-        """Accept no new links; open ones go on."""
+        """Accept no new links; open links stay open."""
         if self._listener is not None:
             await self._listener.close()
 
@@ -433,13 +438,14 @@
     async def link(self, address: str, lane: str = "") -> PeerLink:
         """Return an open link to `address`, connecting if there is none.
 
-        Lanes are separate connections: bulk data on one does not hold up calls on another. Raises
-        `Unreachable` when nobody answers and `BadFleetKey` when the other side's key differs.
+        Lanes are separate connections, so that bulk data on one does not delay calls on another.
+        Raises `Unreachable` when connecting fails, `ConnectionLost` when the handshake breaks off,
+        and `BadFleetKey` when the peer's key differs.
         """
         key = (address, lane)
-        known = self._links.get(key)
-        if known is not None and not known.closed.is_set():
-            return known
+        existing = self._links.get(key)
+        if existing is not None and not existing.closed.is_set():
+            return existing
         opening = self._opening.get(key)
         if opening is None:
             opening = asyncio.get_running_loop().create_task(self._connect(address))
@@ -450,18 +456,18 @@
         return link
 
     def find_open_link(self, address: str) -> PeerLink | None:
-        """Return the link to `address` if one is open."""
-        known = self._links.get((address, ""))
-        return None if known is None or known.closed.is_set() else known
+        """Return the open link to `address`, or None if there is none."""
+        link = self._links.get((address, ""))
+        return None if link is None or link.closed.is_set() else link
 
     def notify_if_open(self, address: str, message: Message) -> None:
-        """Send a message on the link to `address`, if one is open; else do nothing."""
-        known = self._links.get((address, ""))
-        if known is not None:
-            known.notify(message)
+        """Send a notification on the link to `address` if one is open."""
+        link = self._links.get((address, ""))
+        if link is not None:
+            link.notify(message)
 
     def notify_all(self, links: Iterable[PeerLink], message: Message) -> None:
-        """Send one message on many links of this node that are open: it is encoded once."""
+        """Send a notification on all of `links` that are open; it is encoded only once."""
         frame = encode_frame(NO_CALL, FrameKind.NOTIFY, self.revision(), message)
         for link in links:
             link.queue(frame)
@@ -469,12 +475,12 @@
     async def call(
         self, address: str, message: Message, timeout_s: float, lane: str = ""
     ) -> Message:
-        """Link to `address` if need be, and make a call there."""
+        """Make a call to `address`, connecting first if there is no open link."""
         link = await self.link(address, lane)
         return await link.call(message, timeout_s)
 
     def report_revision(self, link: PeerLink, revision: int) -> None:
-        """Tell whoever follows the configuration that `link` has seen `revision`."""
+        """Call `on_revision` if the `revision` received on `link` is newer than this process's."""
         if self._on_revision is not None and revision > self.revision():
             self._on_revision(link, revision)
 
@@ -482,13 +488,13 @@
         try:
             stream = await self._network.connect(address)
         except (OSError, TimeoutError) as error:
-            raise Unreachable(f"nobody answers at {address}: {error}") from error
-        remote = await self._shake_hands(stream, address)
+            raise Unreachable(f"cannot connect to {address}: {error}") from error
+        remote = await self._handshake(stream, address)
         return self._run_link(stream, remote)
 
     async def _accept(self, stream: Stream) -> None:
         try:
-            remote = await self._shake_hands(stream, "a caller")
+            remote = await self._handshake(stream, "an incoming connection")
         except LacewingError as error:
             log.warning("peer_refused", code=error.code, reason=error.reason)
             return
@@ -513,35 +519,35 @@
             self._on_link(link)
         return link
 
-    async def _shake_hands(self, stream: Stream, whom: str) -> Identity:
+    async def _handshake(self, stream: Stream, peer_name: str) -> Identity:
         nonce = secrets.token_bytes(NONCE_BYTES)
         hello = self.identity.to_hello(nonce)
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 stream.write(encode_frame(0, FrameKind.NOTIFY, 0, hello))
-                theirs = await self._read_greeting(stream, messages.Hello)
-                proof = messages.Proof(self._prove(theirs.nonce, hello))
+                remote_hello = await self._read_handshake(stream, messages.Hello)
+                proof = messages.Proof(self._compute_proof(remote_hello.nonce, hello))
                 stream.write(encode_frame(0, FrameKind.NOTIFY, 0, proof))
-                answer = await self._read_greeting(stream, messages.Proof)
+                answer = await self._read_handshake(stream, messages.Proof)
         except (OSError, EOFError, TimeoutError) as error:
             stream.close()
-            raise ConnectionLost(f"{whom} broke off the greeting: {error!r}") from error
+            raise ConnectionLost(f"{peer_name} broke off the handshake: {error!r}") from error
         except LacewingError:
             stream.close()
             raise
-        if theirs.incarnation == self.identity.incarnation:
+        if remote_hello.incarnation == self.identity.incarnation:
             stream.close()
-            raise BadFleetKey(f"{whom} sent back this process's own greeting")
-        if not hmac.compare_digest(answer.digest or b"", self._prove(nonce, theirs)):
+            raise BadFleetKey(f"{peer_name} sent back this process's own handshake")
+        if not hmac.compare_digest(answer.digest or b"", self._compute_proof(nonce, remote_hello)):
             stream.close()
-            raise BadFleetKey(f"{whom} does not know this fleet's key")
-        return Identity.from_hello(theirs)
+            raise BadFleetKey(f"{peer_name} does not have this fleet's key")
+        return Identity.from_hello(remote_hello)
 
-    async def _read_greeting(self, stream: Stream, kind: type[Message]) -> Message:
+    async def _read_handshake(self, stream: Stream, kind: type[Message]) -> Message:
         message = message_of(await read_frame(stream, HANDSHAKE_LIMIT_BYTES))
         if not isinstance(message, kind):
-            raise ProtocolViolation(f"expected a {kind.__name__} to open the connection")
+            raise ProtocolViolation(f"expected a {kind.__name__} in the handshake")
         return message
 
-    def _prove(self, nonce: bytes | None, hello: messages.Hello) -> bytes:
+    def _compute_proof(self, nonce: bytes | None, hello: messages.Hello) -> bytes:
         return hmac.digest(self._key, (nonce or b"") + encode_struct(hello), hashlib.sha256)
--- a/src/lacewinggw/wire/problems.py
+++ b/src/lacewinggw/wire/problems.py
@@ -1,4 +1,4 @@
-"""Errors as HTTP tells them: a problem document, and headers that say the same in short."""
+"""Encoding of errors in HTTP: a problem document, and headers that summarize it."""
 
 import json
 from math import ceil
@@ -13,7 +13,7 @@
 def problem(error: LacewingError, request_id: str = "", status: int = 0) -> dict[str, Any]:
     """Return an error as the members of a problem document.
 
-    `status` is that of the response where it says more than the kind of error does.
+    `status` is the response's status where it is more specific than the error's own; 0 for none.
     """
     members = {
         "type": f"urn:lacewinggw:{error.code}",
@@ -39,7 +39,7 @@
 
 
 def problem_headers(error: LacewingError, request_id: str = "") -> dict[str, str]:
-    """Return the headers of a problem; a wait is rounded up to whole seconds."""
+    """Return the headers of a problem; `retry-after` is rounded up to whole seconds."""
     headers = {"content-type": PROBLEM_TYPE, "error-code": error.code}
     if error.outcome is not Outcome.NONE:
         headers["outcome"] = error.outcome.value
--- a/src/lacewinggw/wire/validation.py
+++ b/src/lacewinggw/wire/validation.py
@@ -1,7 +1,7 @@
-"""Checks of what other processes report, before it is kept and reckoned with.
+"""Validation of reports from other processes before they are stored.
 
-A process of the fleet may be broken, or of another version. What it reports is read again and again
-later, by requests and queries that have nothing to do with it, so it is refused as a whole here.
+A process of the fleet may be faulty or run another version. Its reports are later read by unrelated
+requests and queries, so an invalid report is rejected as a whole on arrival.
 """
 
 import math
@@ -13,34 +13,36 @@
 
 
 def require_valid(report: Any) -> None:
-    """Raise `ProtocolViolation` unless each field is there, and each number finite and not below 0.
+    """Raise `ProtocolViolation` unless each field is set and each number is finite and >= 0.
 
-    Structs within the report are checked as well. It is for reports whose every field must be told.
+    Nested structs are checked as well. Use it only for reports whose fields are all required.
 
-        require_sound(heartbeat)
+        require_valid(heartbeat)
     """
     kind: Any = type(report)
     for name in _field_names(kind):
-        _require_sound_value(getattr(report, name), kind.__name__, name)
+        _require_valid_value(getattr(report, name), kind.__name__, name)
 
 
 def require_valid_heartbeat(heartbeat: Heartbeat) -> None:
-    """Raise `ProtocolViolation` for a heartbeat that is not sound, or tells of an unknown state."""
+    """Raise `ProtocolViolation` for an invalid heartbeat, or one with an unknown state."""
     require_valid(heartbeat)
     if heartbeat.state not in set(TargetState):
-        raise ProtocolViolation(f"a Heartbeat of the unknown state {heartbeat.state}")
+        raise ProtocolViolation(f"a Heartbeat has the unknown state {heartbeat.state}")
 
 
-def _require_sound_value(value: Any, kind: str, name: str) -> None:
+def _require_valid_value(value: Any, kind: str, name: str) -> None:
     match value:
         case None:
-            raise ProtocolViolation(f"a {kind} without its {name}")
+            raise ProtocolViolation(f"a {kind} lacks the field {name}")
         case int() | float():
             if not (math.isfinite(value) and value >= 0):
-                raise ProtocolViolation(f"a {kind} whose {name} is {value}")
+                raise ProtocolViolation(
+                    f"a {kind} has a field {name} with the invalid value {value}"
+                )
         case list():
             for each in value:
-                _require_sound_value(each, kind, name)
+                _require_valid_value(each, kind, name)
         case str() | bytes():
             return
         case struct:
