--- a/tests/fuzz/test_fuzz_frames.py
+++ b/tests/fuzz/test_fuzz_frames.py
@@ -1,4 +1,4 @@
-"""Bytes from strangers on the listener for our own processes."""
+"""Malformed and unauthenticated input on the listener for peer connections."""
 
 import asyncio
 import tracemalloc
@@ -74,32 +74,32 @@
 
 
 async def with_server(attack: Callable[[Stream], None]) -> tuple[bytes, messages.Done]:
-    """Attack a listener, then return what it answered and that a friend is still served."""
+    """Attack a listener; return its response and the reply to a valid peer's later call."""
     network = MemoryNetwork()
-    server, friend = node(network, "server"), node(network, "friend")
+    server, valid_peer = node(network, "server"), node(network, "valid_peer")
     await server.start(ADDRESS)
     stream = await network.connect(ADDRESS)
     attack(stream)
-    answered = await asyncio.wait_for(stream.read(1 << 20), 60.0)
-    done = await friend.call(ADDRESS, messages.Done("hello"), 5.0)
-    await friend.close()
+    received = await asyncio.wait_for(stream.read(1 << 20), 60.0)
+    done = await valid_peer.call(ADDRESS, messages.Done("hello"), 5.0)
+    await valid_peer.close()
     await server.close()
-    return answered, done
+    return received, done
 
 
 @given(st.one_of(st.binary(min_size=1, max_size=100), damaged_frames()), st.booleans())
-def test_stranger_does_not_disturb_the_listener(data: bytes, framed: bool) -> None:
+def test_malformed_input_does_not_disturb_the_listener(data: bytes, framed: bool) -> None:
     sent = len(data).to_bytes(4, "big") + data if framed else data
 
     def attack(stream: Stream) -> None:
         stream.write(sent)
 
-    answered, done = run_virtual(with_server(attack))
-    assert b"Traceback" not in answered
+    received, done = run_virtual(with_server(attack))
+    assert b"Traceback" not in received
     assert done.note == "fine"
 
 
-def test_announced_size_over_the_limit_is_refused_before_it_is_read() -> None:
+def test_frame_length_over_the_limit_is_rejected_before_the_frame_is_read() -> None:
     def attack(stream: Stream) -> None:
         stream.write((1 << 31).to_bytes(4, "big"))
 
@@ -109,13 +109,13 @@
 
 async def connect_with(key: str) -> None:
     network = MemoryNetwork()
-    server, stranger = node(network, "server"), node(network, "stranger", key)
+    server, intruder = node(network, "server"), node(network, "intruder", key)
     await server.start(ADDRESS)
     try:
-        await stranger.call(ADDRESS, messages.Done(), 5.0)
+        await intruder.call(ADDRESS, messages.Done(), 5.0)
     finally:
         assert not server.links
-        await stranger.close()
+        await intruder.close()
         await server.close()
 
 
@@ -125,29 +125,29 @@
 
 
 async def call_without_proof(message: object) -> bytes:
-    """Send a request in place of the proof, and return everything that comes back."""
+    """Send a request in place of the handshake's proof; return all bytes received."""
     network = MemoryNetwork()
     server = node(network, "server")
     await server.start(ADDRESS)
     stream = await network.connect(ADDRESS)
     stream.write(encode_frame(0, FrameKind.NOTIFY, 0, SAMPLES[0]))
     stream.write(encode_frame(1, FrameKind.REQUEST, 0, message))
-    answered = b""
+    received = b""
     while data := await asyncio.wait_for(stream.read(1 << 20), 60.0):
-        answered += data
+        received += data
     await server.close()
-    return answered
+    return received
 
 
-def test_call_before_the_proof_is_not_handled() -> None:
-    answered = run_virtual(call_without_proof(messages.Done("let me in")))
-    assert b"fine" not in answered
+def test_call_before_authentication_is_not_handled() -> None:
+    received = run_virtual(call_without_proof(messages.Done("let me in")))
+    assert b"fine" not in received
 
 
-async def replayed_greeting() -> bool:
-    """Record a friend's greeting and send it again; return whether the server let it in."""
+async def replayed_handshake() -> bool:
+    """Record a valid peer's handshake and replay it; return whether the server accepted it."""
     network = MemoryNetwork()
-    server, friend = node(network, "server"), node(network, "friend")
+    server, valid_peer = node(network, "server"), node(network, "valid_peer")
     recorded: list[bytes] = []
     await server.start(ADDRESS)
 
@@ -163,33 +163,33 @@
         await asyncio.gather(forward(stream, onward, True), forward(onward, stream, False))
 
     await network.listen("10.0.0.9:7000", relay)
-    await friend.call("10.0.0.9:7000", messages.Done(), 5.0)
-    await friend.close()
+    await valid_peer.call("10.0.0.9:7000", messages.Done(), 5.0)
+    await valid_peer.close()
     before = len(server.links)
     stream = await network.connect(ADDRESS)
     stream.write(b"".join(recorded))
     await asyncio.sleep(1.0)
-    let_in = len(server.links) > before
+    accepted = len(server.links) > before
     await server.close()
-    return let_in
+    return accepted
 
 
-def test_replayed_greeting_is_refused() -> None:
-    assert not run_virtual(replayed_greeting())
+def test_replayed_handshake_is_rejected() -> None:
+    assert not run_virtual(replayed_handshake())
 
 
 async def failing_call() -> messages.Failure:
     network = MemoryNetwork()
-    server, friend = node(network, "server"), node(network, "friend")
+    server, valid_peer = node(network, "server"), node(network, "valid_peer")
     await server.start(ADDRESS)
     try:
-        await friend.call(ADDRESS, messages.FetchSnapshot(0), 5.0)
+        await valid_peer.call(ADDRESS, messages.FetchSnapshot(0), 5.0)
     except ProtocolViolation as error:
         return error.to_failure()
     finally:
-        await friend.close()
+        await valid_peer.close()
         await server.close()
-    raise AssertionError("the call went through")
+    raise AssertionError("the call succeeded")
 
 
 def test_failing_handler_sends_no_traceback() -> None:
--- a/tests/fuzz/test_fuzz_http.py
+++ b/tests/fuzz/test_fuzz_http.py
@@ -1,4 +1,4 @@
-"""Bytes from strangers on the listeners for callers and operators."""
+"""Malformed input on the HTTP listeners for callers and operators."""
 
 import asyncio
 
@@ -29,20 +29,20 @@
 
 
 async def send(data: bytes) -> bytes:
-    """Send bytes, return all that comes back, and make sure that others are still served."""
+    """Send bytes, check that another client is still served, and return all bytes received."""
     network = MemoryNetwork()
     server = HttpServer(network, ADDRESS, echo, LIMITS)
     await server.start()
     stream = await network.connect(ADDRESS)
     stream.write(data)
-    answered = b""
+    received = b""
     while piece := await asyncio.wait_for(stream.read(1 << 16), 100.0):
-        answered += piece
+        received += piece
     client = HttpClient(network)
     assert (await client.request(ADDRESS, "GET", "/friend")).status == 200
     await client.close()
     await server.close()
-    return answered
+    return received
 
 
 @st.composite
@@ -54,10 +54,10 @@
 
 
 @given(st.one_of(st.binary(min_size=1, max_size=300), damaged_requests()))
-def test_bytes_get_an_answer_or_a_closed_connection(data: bytes) -> None:
-    answered = run_virtual(send(data))
-    assert b"Traceback" not in answered
-    assert not answered or answered.startswith(b"HTTP/1.1 ")
+def test_any_input_gets_a_response_or_a_closed_connection(data: bytes) -> None:
+    received = run_virtual(send(data))
+    assert b"Traceback" not in received
+    assert not received or received.startswith(b"HTTP/1.1 ")
 
 
 @pytest.mark.parametrize(
@@ -78,20 +78,20 @@
     ],
     ids=[
         *["long body", "long chunked body", "long header", "long target", "no host"],
-        *["negative length", "two lengths", "greeting of another protocol"],
+        *["negative length", "conflicting lengths", "TLS handshake"],
     ],
 )
-def test_breach_of_a_limit_or_of_the_protocol_is_refused(data: bytes, status: int) -> None:
-    answered = run_virtual(send(data))
-    assert answered.startswith(b"HTTP/1.1 %d " % status)
+def test_violation_of_a_limit_or_of_the_protocol_is_rejected(data: bytes, status: int) -> None:
+    received = run_virtual(send(data))
+    assert received.startswith(b"HTTP/1.1 %d " % status)
 
 
-def test_slow_sender_is_cut_off_without_harm() -> None:
+def test_slow_sender_is_disconnected() -> None:
     assert run_virtual(send(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nx")) == b""
 
 
-def test_failing_handler_tells_the_caller_nothing_of_its_inside() -> None:
-    answered = run_virtual(send(b"GET /fail HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"))
-    assert answered.startswith(b"HTTP/1.1 500 ")
-    assert b"secret" not in answered
-    assert b"Traceback" not in answered
+def test_handler_exception_is_not_shown_to_the_client() -> None:
+    received = run_virtual(send(b"GET /fail HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"))
+    assert received.startswith(b"HTTP/1.1 500 ")
+    assert b"secret" not in received
+    assert b"Traceback" not in received
--- a/tests/test_abort.py
+++ b/tests/test_abort.py
@@ -1,12 +1,15 @@
-"""A stream that is reset: what the other side has not got it never gets."""
+"""Closing and resetting TCP streams: `close` delivers queued bytes, `abort` discards them."""
 
 import asyncio
 
 from lacewinggw.wire.network import TcpNetwork
 
 
-async def bytes_that_arrive(end):
-    """Send over TCP to a host that reads nothing at first; end the stream; return what it reads."""
+async def send_then_end(end):
+    """Send 64 MiB to a peer that has paused reading, call `end`, then resume reading.
+
+    Return the number of bytes received, the number sent, and the peer's error or None.
+    """
     network, accepted = TcpNetwork(), asyncio.get_running_loop().create_future()
     done = asyncio.Event()
 
@@ -39,18 +42,18 @@
     return received, size, error
 
 
-async def test_a_closed_stream_still_sends_what_is_queued():
-    received, size, error = await bytes_that_arrive(lambda stream: stream.close())
+async def test_close_delivers_queued_bytes():
+    received, size, error = await send_then_end(lambda stream: stream.close())
     assert received == size and error is None
 
 
-async def test_an_aborted_stream_sends_nothing_more():
-    received, size, error = await bytes_that_arrive(lambda stream: stream.abort())
+async def test_abort_discards_queued_bytes_and_resets():
+    received, size, error = await send_then_end(lambda stream: stream.abort())
     assert received < size
     assert isinstance(error, ConnectionResetError)
 
 
-async def test_aborting_twice_does_nothing():
+async def test_second_abort_has_no_effect():
     network = TcpNetwork()
 
     async def accept(stream):
--- a/tests/test_counting.py
+++ b/tests/test_counting.py
@@ -1,4 +1,4 @@
-"""What the parts count: each refusal once by its reason, each chunk that is fetched again."""
+"""Metrics: each refusal is counted once by its reason, and each retried chunk once."""
 
 import pytest
 from request_fleet import RequestFleet, request_fleet
@@ -10,7 +10,7 @@
 
 
 def refusals(metrics: Metrics) -> dict[Refusal, int]:
-    """Return the reasons that were counted."""
+    """Return the count of each refusal reason that is not zero."""
     counted = {refusal: metrics.counter("refusals", reason=refusal).value for refusal in Refusal}
     return {refusal: count for refusal, count in counted.items() if count}
 
@@ -18,12 +18,12 @@
 def test_entry_counts_each_refusal_once() -> None:
     async def body() -> dict[Refusal, int]:
         async with request_fleet() as fleet:
-            return await refuse_thrice(fleet)
+            return await cause_refusals(fleet)
 
     assert run_virtual(body()) == {Refusal.UNKNOWN_SERVICE: 2, Refusal.NO_TARGET: 1}
 
 
-async def refuse_thrice(fleet: RequestFleet) -> dict[Refusal, int]:
+async def cause_refusals(fleet: RequestFleet) -> dict[Refusal, int]:
     entry = fleet.entries[0]
     for _ in range(2):
         assert (await entry.ask(service="nobody")).status == 404
--- a/tests/test_headervalues.py
+++ b/tests/test_headervalues.py
@@ -1,4 +1,4 @@
-"""Headers as numbers and times, as anybody may write them."""
+"""Parsing of `Retry-After`: numbers, dates and malformed values."""
 
 import pytest
 
@@ -26,11 +26,11 @@
         ("", None),
     ],
 )
-def test_the_seconds_of_retry_after(text, seconds):
+def test_retry_after_in_seconds(text, seconds):
     assert read_retry_after({"retry-after": text, "date": SENT}) == seconds
 
 
-def test_a_date_is_read_without_the_date_of_the_answer():
+def test_retry_after_date_without_date_header_is_relative_to_the_local_clock():
     assert read_retry_after({"retry-after": "Wed, 02 Dec 2099 10:00:07 GMT"}) > 1e9
     assert read_retry_after({"retry-after": "Wed, 02 Dec 2009 10:00:07 GMT"}) is None
     assert read_retry_after({}) is None
--- a/tests/test_http_problems.py
+++ b/tests/test_http_problems.py
@@ -1,4 +1,4 @@
-"""What the HTTP server itself refuses: with a code, a remedy and an outcome, like all else."""
+"""Requests that the HTTP server rejects itself: the problem has a code, a remedy and an outcome."""
 
 import json
 
@@ -14,8 +14,8 @@
 LIMITS = HttpLimits(body_bytes=100, head_bytes=1000)
 
 
-class Served:
-    """A server on an in-memory network, which notes what reached its handler."""
+class RecordingServer:
+    """A server on an in-memory network that records the requests its handler received."""
 
     def __init__(self) -> None:
         self.network = MemoryNetwork()
@@ -29,11 +29,11 @@
 
     async def _handle(self, request: Request) -> Response:
         self.handled.append(request)
-        raise ZeroDivisionError("a fault of the handler's own")
+        raise ZeroDivisionError("an unexpected error in the handler")
 
 
 async def read_response(stream: Stream) -> tuple[int, dict[str, object]]:
-    """Return status and problem of a response that ends with its connection."""
+    """Read until the connection closes; return the response's status and problem document."""
     received = b""
     while data := await stream.read(1 << 16):
         received += data
@@ -53,30 +53,30 @@
         (b"GET / HTTP/1.1\r\n\r\n", 400, MalformedHttp),
         (b"GET / HTTP/1.1\r\nhost: " + 2000 * b"x", 431, MalformedHttp),
     ],
-    ids=["body too large", "no HTTP", "no host", "head too large"],
+    ids=["body too large", "not HTTP", "no host", "head too large"],
 )
-async def test_refused_before_the_handler_is_not_run(
+async def test_rejected_request_does_not_reach_the_handler(
     sent: bytes,
     status: int,
     error: type[LacewingError],
 ) -> None:
-    served = Served()
-    stream = await served.network.connect(await served.start())
+    server = RecordingServer()
+    stream = await server.network.connect(await server.start())
     stream.write(sent)
-    told_status, problem = await read_response(stream)
-    assert told_status == status
+    received_status, problem = await read_response(stream)
+    assert received_status == status
     assert problem["code"] == error.code
     assert problem["status"] == status
     assert problem["outcome"] == "not-run"
     assert problem["remedy"] == error.default_remedy
-    assert served.handled == []
+    assert server.handled == []
 
 
-async def test_fault_of_a_handler_shows_no_traceback() -> None:
-    served = Served()
-    client = HttpClient(served.network)
-    response = await client.request(await served.start(), "GET", "/")
+async def test_handler_exception_is_not_shown_to_the_client() -> None:
+    server = RecordingServer()
+    client = HttpClient(server.network)
+    response = await client.request(await server.start(), "GET", "/")
     assert response.status == 500
     assert response.headers["error-code"] == LacewingError.code
     assert b"ZeroDivision" not in response.content
-    assert len(served.handled) == 1
+    assert len(server.handled) == 1
--- a/tests/test_memory_network.py
+++ b/tests/test_memory_network.py
@@ -1,4 +1,4 @@
-"""The in-memory network."""
+"""The in-memory network: ordering, and sharing of limited bandwidth between regions."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_bytes_sent_at_one_moment_arrive_in_order() -> None:
+async def test_bytes_sent_at_the_same_time_arrive_in_order() -> None:
     network = MemoryNetwork()
     done = asyncio.Event()
 
@@ -27,8 +27,8 @@
     assert await stream.read(1) == b""
 
 
-async def test_connections_share_a_narrow_border_evenly() -> None:
-    """Two large sendings and a small one that begins with them: the small one is not held up."""
+async def test_connections_share_limited_bandwidth_evenly() -> None:
+    """A small transfer is not delayed by two large ones that start at the same time."""
     network = MemoryNetwork()
     network.part_regions({"10.0.0.1": "north", "10.0.0.2": "south"}, bytes_per_s=100_000)
     sizes = {1: 200_000, 2: 200_000, 3: 10_000}
@@ -54,7 +54,7 @@
     assert all(3.9 < ended[number] < 4.5 for number in (1, 2))
 
 
-async def test_what_nobody_reads_any_more_leaves_a_border_to_others() -> None:
+async def test_abandoned_transfer_frees_its_bandwidth() -> None:
     network = MemoryNetwork()
     network.part_regions({"10.0.0.1": "north", "10.0.0.2": "south"}, bytes_per_s=100_000)
 
@@ -63,9 +63,9 @@
         await asyncio.sleep(60)
 
     listener = await network.view("10.0.0.1").listen("10.0.0.1:80", accept)
-    given_up = await network.view("10.0.0.2").connect(listener.address)
-    await given_up.readexactly(10_000)
-    given_up.close()
+    abandoned = await network.view("10.0.0.2").connect(listener.address)
+    await abandoned.readexactly(10_000)
+    abandoned.close()
     began = asyncio.get_running_loop().time()
     other = await network.view("10.0.0.2").connect(listener.address)
     await other.readexactly(100_000)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Calls between processes, on the in-memory network under virtual time."""
+"""Calls between peer nodes, on the in-memory network under virtual time."""
 
 import asyncio
 
@@ -19,14 +19,14 @@
     return PeerNode(network.view(ip), identity, key, handler, lambda: revision, **hooks)
 
 
-async def no_calls(exchange):
+async def reject_calls(exchange):
     raise AssertionError("nobody calls this side")
 
 
 async def start_pair(handler, **hooks):
     network = MemoryNetwork()
     server = make_node(network, SERVER, handler)
-    client = make_node(network, CLIENT, no_calls, **hooks)
+    client = make_node(network, CLIENT, reject_calls, **hooks)
     await server.start(f"{SERVER}:0")
     return network, server, client
 
@@ -45,7 +45,7 @@
     await server.close()
 
 
-async def test_typed_error_crosses_the_wire():
+async def test_typed_error_is_raised_at_the_caller():
     async def handler(exchange):
         raise Draining("host-1 is leaving", retry_after_ms=250)
 
@@ -57,45 +57,45 @@
     await server.close()
 
 
-async def test_wrong_fleet_key_is_refused():
-    network, server, _ = await start_pair(no_calls)
-    stranger = make_node(network, "10.0.0.9", no_calls, key="another")
+async def test_wrong_fleet_key_is_rejected():
+    network, server, _ = await start_pair(reject_calls)
+    intruder = make_node(network, "10.0.0.9", reject_calls, key="another")
     with pytest.raises((BadFleetKey, ConnectionLost)):
-        await stranger.link(server.address)
+        await intruder.link(server.address)
     assert not server.links
-    await stranger.close()
+    await intruder.close()
     await server.close()
 
 
-async def test_own_greeting_sent_back_is_refused():
-    network, server, _ = await start_pair(no_calls)
+async def test_reflected_handshake_is_rejected():
+    network, server, _ = await start_pair(reject_calls)
 
     async def reflect(stream):
         while data := await stream.read(4096):
             stream.write(data)
 
-    mirror = await network.view("10.0.0.8").listen("10.0.0.8:0", reflect)
+    reflector = await network.view("10.0.0.8").listen("10.0.0.8:0", reflect)
     with pytest.raises(BadFleetKey):
-        await server.link(mirror.address)
+        await server.link(reflector.address)
     await server.close()
 
 
-async def test_silent_handler_times_out_and_hears_of_it():
-    heard = []
+async def test_call_that_times_out_sends_cancel_to_its_handler():
+    follow_ups = []
 
     async def handler(exchange):
-        heard.append(await exchange.follow_up())
+        follow_ups.append(await exchange.follow_up())
 
     _, server, client = await start_pair(handler)
     with pytest.raises(TimedOut):
         await client.call(server.address, messages.FetchLog(0, 1), timeout_s=2.0)
     await asyncio.sleep(0.1)
-    assert isinstance(heard[0], messages.Cancel)
+    assert isinstance(follow_ups[0], messages.Cancel)
     await client.close()
     await server.close()
 
 
-async def test_cut_ends_calls_in_progress_and_a_new_link_heals():
+async def test_lost_link_fails_calls_and_a_new_link_works():
     async def handler(exchange):
         if exchange.message.after == 0:
             await asyncio.sleep(60)
@@ -120,9 +120,13 @@
 async def test_higher_revision_is_reported():
     seen = []
     network = MemoryNetwork()
-    server = make_node(network, SERVER, no_calls, revision=7)
+    server = make_node(network, SERVER, reject_calls, revision=7)
     client = make_node(
-        network, CLIENT, no_calls, revision=3, on_revision=lambda link, number: seen.append(number)
+        network,
+        CLIENT,
+        reject_calls,
+        revision=3,
+        on_revision=lambda link, number: seen.append(number),
     )
     await server.start(f"{SERVER}:0")
     link = await client.link(server.address)
@@ -134,11 +138,11 @@
     await server.close()
 
 
-async def test_a_notice_is_dealt_with_at_once_and_one_that_fails_ends_no_link():
-    heard = []
+async def test_notification_is_handled_synchronously_and_its_failure_keeps_the_link():
+    notified = []
 
-    def take(link, message):
-        heard.append((link.remote.host, message.note))
+    def on_notification(link, message):
+        notified.append((link.remote.host, message.note))
         if message.note == "bad":
             raise ValueError("cannot be read")
         return message.note != "later"
@@ -149,14 +153,14 @@
         handled.append(exchange.message.note)
 
     network = MemoryNetwork()
-    alpha = make_node(network, "10.0.0.1", handle, on_notification=take)
+    alpha = make_node(network, "10.0.0.1", handle, on_notification=on_notification)
     await alpha.start("10.0.0.1:7000")
     beta = make_node(network, "10.0.0.2", handle)
     link = await beta.link("10.0.0.1:7000")
     for note in ("good", "bad", "later", "good"):
         link.notify(messages.Done(note))
     await asyncio.sleep(0.1)
-    assert [note for _, note in heard] == ["good", "bad", "later", "good"]
+    assert [note for _, note in notified] == ["good", "bad", "later", "good"]
     assert handled == ["later"] and not link.closed.is_set()
     await beta.close()
     await alpha.close()
