--- a/src/lacewinggw/wire/headervalues.py
+++ b/src/lacewinggw/wire/headervalues.py
@@ -24,7 +24,7 @@
 def read_float(text: str | None) -> float | None:
     """Return a finite non-negative number, or None for any other text.
 
-    >>> read_amount("1.5"), read_amount("inf"), read_amount("-1")
+    >>> read_float("1.5"), read_float("inf"), read_float("-1")
     (1.5, None, None)
     """
     try:
