--- a/src/lacewinggw/agent/process.py
+++ b/src/lacewinggw/agent/process.py
@@ -292,7 +292,7 @@
         try:
             await self.requests.handle(exchange)
         except LacewingError as error:
-            self.metrics.note_error(error)
+            self.metrics.count_refusal_error(error)
             raise
 
 
--- a/src/lacewinggw/cli.py
+++ b/src/lacewinggw/cli.py
@@ -61,7 +61,7 @@
 from lacewinggw.generated.settings.ttypes import OperatorSettings
 from lacewinggw.ids import Address
 from lacewinggw.log import LogFormat, configure_log, get_logger
-from lacewinggw.settings import default_settings, kind_of_file, load_settings, parse_settings
+from lacewinggw.settings import default_settings, detect_process_kind, load_settings, parse_settings
 from lacewinggw.settingskeys import SECTIONS, ProcessKind
 
 MILLISECONDS = 1000
@@ -194,7 +194,7 @@
 
 def _role_of(file: str, role: str | None) -> ProcessKind:
     if role is None:
-        return kind_of_file(file)
+        return detect_process_kind(file)
     try:
         return ProcessKind(role)
     except ValueError:
--- a/src/lacewinggw/entry/callers.py
+++ b/src/lacewinggw/entry/callers.py
@@ -125,7 +125,7 @@
         try:
             response = await self._route(request)
         except LacewingError as error:
-            self._metrics.note_error(error)
+            self._metrics.count_refusal_error(error)
             response = problem_response(error)
         if self._draining:
             response.headers["connection"] = "close"
--- a/src/lacewinggw/entry/outcomes.py
+++ b/src/lacewinggw/entry/outcomes.py
@@ -95,7 +95,7 @@
         if error is None:
             self._latency.record(asyncio.get_running_loop().time() - began_at)
         else:
-            self._metrics.note_error(error)
+            self._metrics.count_refusal_error(error)
             self._metrics.count("request_errors", code=error.code, kind=error.kind)
         if not self._began_at:
             self._idle.set()
--- a/src/lacewinggw/frontend/relay.py
+++ b/src/lacewinggw/frontend/relay.py
@@ -163,7 +163,7 @@
     async def _refuse(
         self, call: Call, call_id: str, error: LacewingError, caller: CallerConnection
     ) -> None:
-        self._deps.metrics.note_error(error)
+        self._deps.metrics.count_refusal_error(error)
         log.info(
             "request_refused" if isinstance(error, RequestRefused) else "request_failed",
             request_id=call_id,
--- a/src/lacewinggw/logstream.py
+++ b/src/lacewinggw/logstream.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-KEPT_BYTES = 1 << 18  # for a reader that pauses: about a second of lines at the highest rate
+MAX_BUFFER_BYTES = 1 << 18  # for a reader that pauses: about a second of lines at the highest rate
 LINES_PER_S = 400.0  # 20 times the requests of an entry today; a line costs about 0.1 ms
 BURST_LINES = 800.0
 
@@ -48,7 +48,7 @@
 
     def write(self, text: str) -> int:
         """Write a line, or drop it and count it."""
-        if not self._take_token() or len(self._kept) > KEPT_BYTES:
+        if not self._take_token() or len(self._kept) > MAX_BUFFER_BYTES:
             self.dropped += 1
             self._untold += 1
             self._send()
--- a/src/lacewinggw/metrics.py
+++ b/src/lacewinggw/metrics.py
@@ -190,7 +190,7 @@
         """Count a request that was refused as not run."""
         self._refusals[refusal].add()
 
-    def note_error(self, error: LacewingError) -> None:
+    def count_refusal_error(self, error: LacewingError) -> None:
         """Count an error that is told to the other side, if it is a refusal."""
         if isinstance(error, RequestRefused) and error.refusal is not None:
             self.refuse(error.refusal)
--- a/src/lacewinggw/reloading.py
+++ b/src/lacewinggw/reloading.py
@@ -10,7 +10,7 @@
 from lacewinggw.generated.settings.ttypes import Settings
 from lacewinggw.log import get_logger
 
-LOOK_S = 1.0  # between looks at the file: a change without a signal is in force within this
+POLL_PERIOD_S = 1.0  # between looks at the file: a change without a signal is in force within this
 
 log = get_logger(__name__)
 
@@ -61,6 +61,6 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_PERIOD_S)
             if self._stamp() != self._seen:
                 self.reload()
--- a/src/lacewinggw/settings.py
+++ b/src/lacewinggw/settings.py
@@ -33,7 +33,7 @@
     section_keys,
     section_names,
 )
-from lacewinggw.settingsvalues import Written, format_value, parse_value
+from lacewinggw.settingsvalues import RawValue, format_value, parse_value
 from lacewinggw.units import split_field
 
 
@@ -83,7 +83,7 @@
         for written, value in ini.items(section):
             key = _find_key(name, section, written)
             if value.strip():
-                values[section, key.field] = parse_value(Written(name, key, value.strip()))
+                values[section, key.field] = parse_value(RawValue(name, key, value.strip()))
     needed = tuple(sections)
     _check_required(name, needed, values)
     _check_clashes(name, needed, values)
@@ -192,7 +192,7 @@
     return out.getvalue()
 
 
-def kind_of_file(path: Path | str) -> ProcessKind:
+def detect_process_kind(path: Path | str) -> ProcessKind:
     """Tell from its sections which kind of process a settings file is for."""
     ini = _parse_ini(_read_text(path), str(path))
     fleet = ini.has_section("fleet")
--- a/src/lacewinggw/settingsvalues.py
+++ b/src/lacewinggw/settingsvalues.py
@@ -40,19 +40,19 @@
 
 
 @dataclass(frozen=True)
-class Written:
+class RawValue:
     """A value as it stands in a file, and where."""
 
     file: str
     key: Key
     text: str
 
-    def fault(self, kind: type[SettingsError], met: str, remedy: str) -> SettingsError:
+    def make_error(self, kind: type[SettingsError], met: str, remedy: str) -> SettingsError:
         """Return the error that points at this place."""
         return kind.at(self.file, self.key.section, self.key.name, met, remedy)
 
 
-def parse_value(written: Written) -> Value:
+def parse_value(written: RawValue) -> Value:
     """Return the value of the key's type; raise the `SettingsError` that says what is wrong."""
     match written.key.kind:
         case TType.STRING:
@@ -72,17 +72,17 @@
             yield item.strip()
 
 
-def _parse_text(written: Written) -> str:
+def _parse_text(written: RawValue) -> str:
     if written.key.field in ADDRESSES:
         _check_address(written)
     choices = CHOICES.get(written.key.field)
     if choices and written.text not in choices:
         remedy = f"write one of: {', '.join(choices)}"
-        raise written.fault(BadValue, f"{written.text!r} is not a choice", remedy)
+        raise written.make_error(BadValue, f"{written.text!r} is not a choice", remedy)
     return written.text
 
 
-def _parse_item(written: Written) -> str:
+def _parse_item(written: RawValue) -> str:
     if written.key.field in ADDRESSES:
         _check_address(written)
     parts = LIST_PARTS.get(written.key.field)
@@ -90,7 +90,7 @@
     if parts is not None and met not in parts:
         wanted = " or ".join(map(str, parts))
         reason = f"an item has {met} parts between colons, not {wanted}"
-        raise written.fault(BadValue, reason, _list_remedy(written.key))
+        raise written.make_error(BadValue, reason, _list_remedy(written.key))
     if written.key.field == "accounts":
         _check_account(written)
     return written.text
@@ -104,75 +104,75 @@
     return "write name:token, one a line"
 
 
-def _check_account(written: Written) -> None:
+def _check_account(written: RawValue) -> None:
     try:
         AccountDeclaration.parse(written.text)
     except ValueError as error:
         # The token is a secret: the message names the account only.
         name = written.text.split(":")[0]
         met = f"the limits of account {name!r} are not numbers above 0"
-        raise written.fault(BadValue, met, _list_remedy(written.key)) from error
+        raise written.make_error(BadValue, met, _list_remedy(written.key)) from error
 
 
-def _parse_switch(written: Written) -> bool:
+def _parse_switch(written: RawValue) -> bool:
     if written.text.lower() in TRUE_WORDS:
         return True
     if written.text.lower() in FALSE_WORDS:
         return False
-    raise written.fault(BadValue, f"{written.text!r} is not yes or no", "write yes or no")
+    raise written.make_error(BadValue, f"{written.text!r} is not yes or no", "write yes or no")
 
 
-def _parse_number(written: Written) -> int:
+def _parse_number(written: RawValue) -> int:
     measure = written.key.measure
     number = _parse_plain(written) if measure is None else _parse_measured(written, measure)
     _check_range(written, number)
     return number
 
 
-def _parse_plain(written: Written) -> int:
+def _parse_plain(written: RawValue) -> int:
     if _is_filled_in(written.key) and NUMBER.fullmatch(written.text):
         return int(Decimal(written.text))
     try:
         return int(written.text)
     except ValueError:
         met = f"{written.text!r} is not a whole number"
-        raise written.fault(BadValue, met, "write digits, as in 8") from None
+        raise written.make_error(BadValue, met, "write digits, as in 8") from None
 
 
 def _is_filled_in(key: Key) -> bool:
     return key.section == FILLED_IN_SECTION or key.field in FILLED_IN_FIELDS
 
 
-def _parse_measured(written: Written, measure: Measure) -> int:
+def _parse_measured(written: RawValue, measure: Measure) -> int:
     remedy = f"write a {measure.name} in {', '.join(measure.units)}, as in {measure.example}"
     try:
         return parse_quantity(written.text, measure, _is_filled_in(written.key))
     except UnitError as error:
-        raise written.fault(WrongUnit, str(error), remedy) from None
+        raise written.make_error(WrongUnit, str(error), remedy) from None
     except QuantityError as error:
-        raise written.fault(BadValue, str(error), remedy) from None
+        raise written.make_error(BadValue, str(error), remedy) from None
 
 
-def _check_range(written: Written, number: int) -> None:
+def _check_range(written: RawValue, number: int) -> None:
     key = written.key
     least = 0 if key.field in MAY_BE_ZERO else 1
     most = PERCENT_MAXIMUM if key.field.endswith("_percent") else MAXIMUM[key.kind]
     if not least <= number <= most:
         remedy = f"write a value from {least} to {most}"
-        raise written.fault(BadValue, f"{written.text} is out of range", remedy)
+        raise written.make_error(BadValue, f"{written.text} is out of range", remedy)
 
 
-def _check_address(written: Written) -> None:
+def _check_address(written: RawValue) -> None:
     remedy = "write an IP number and a port, as in 10.0.0.7:7001"
     try:
         host, port = split_address(written.text)
         ipaddress.ip_address(host)
     except ValueError:
         met = f"{written.text!r} is not an IP number and a port"
-        raise written.fault(BadAddress, met, remedy) from None
+        raise written.make_error(BadAddress, met, remedy) from None
     least = 0 if written.key.field in LISTENERS else 1
     if not least <= port <= PORT_MAXIMUM:
-        raise written.fault(BadAddress, f"port {port} is out of range", remedy)
+        raise written.make_error(BadAddress, f"port {port} is out of range", remedy)
 
 
 def format_value(key: Key, value: Value) -> str:
--- a/tests/fleet/test_logstream.py
+++ b/tests/fleet/test_logstream.py
@@ -2,7 +2,7 @@
 
 import json
 
-from lacewinggw.logstream import BURST_LINES, KEPT_BYTES, LogStream
+from lacewinggw.logstream import BURST_LINES, MAX_BUFFER_BYTES, LogStream
 
 
 class Pipe:
@@ -52,7 +52,7 @@
         pipe.now = number
         stream.write("x" * 1000 + "\n")
     assert stream.dropped > 1000
-    pipe.room = 10 * KEPT_BYTES
+    pipe.room = 10 * MAX_BUFFER_BYTES
     pipe.now += 1
     stream.write("last\n")
     stream.write("after\n")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -42,8 +42,8 @@
 
 def test_only_refusals_are_counted_as_such() -> None:
     metrics = Metrics()
-    metrics.note_error(NoTarget("none"))
-    metrics.note_error(AgentLost("lost"))
+    metrics.count_refusal_error(NoTarget("none"))
+    metrics.count_refusal_error(AgentLost("lost"))
     counters = metrics.snapshot().counters
     assert counters['refusals{reason="no-target"}'] == 1
     assert sum(counters.values()) == 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from lacewinggw.errors import LacewingError, SettingsError
 from lacewinggw.settings import (
     default_settings,
-    kind_of_file,
+    detect_process_kind,
     load_settings,
     parse_settings,
     write_settings,
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("kind", list(ProcessKind))
 def test_example_is_good(kind: ProcessKind) -> None:
     path = EXAMPLES / f"{kind.value}.ini"
-    assert kind_of_file(path) is kind
+    assert detect_process_kind(path) is kind
     load_settings(path, SECTIONS[kind])
 
 
