--- a/src/lacewinggw/background.py
+++ b/src/lacewinggw/background.py
@@ -1,4 +1,4 @@
-"""A loop that runs beside the rest of a process until it is closed."""
+"""A background loop that runs until it is closed."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,10 +12,10 @@
 
 
 class Background:
-    """Run a coroutine function in a task of its own.
+    """Run a coroutine function in its own task.
 
-    An error that the loop did not foresee is logged with its trace and the loop begun anew after a
-    second, so that a fault in one part never stops it for good without a word.
+    An unhandled exception is logged with its traceback and the loop is restarted after
+    `RESTART_S`, so that an error never stops it permanently and silently.
 
         self._loop = Background("heartbeats", self._run)
         self._loop.start()
@@ -29,11 +29,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to run."""
+        """Start the task."""
         self._task = asyncio.get_running_loop().create_task(self._keep_running())
 
     async def close(self) -> None:
-        """Stop, and wait until the loop has ended; closing twice does nothing."""
+        """Cancel the task and wait until it has ended; do nothing when already closed."""
         task, self._task = self._task, None
         if task is None:
             return
--- a/src/lacewinggw/cli.py
+++ b/src/lacewinggw/cli.py
@@ -66,11 +66,11 @@
 
 MILLISECONDS = 1000
 INTERRUPTED = "interrupted; if a command was sent, `show history` tells whether it was accepted"
-SHELL_LOG_LEVEL = "warning"  # entry and agent set their own, from their settings
+SHELL_LOG_LEVEL = "warning"  # entry and agent set their own level, from their settings
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
     OK = 0
     FAILED = 1
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class ShellOptions:
-    """What `ask`, `plan` and `apply` need to reach the fleet, and how to print."""
+    """Connection and output options of `ask`, `plan` and `apply`."""
 
     entries: tuple[Address, ...]  # operator addresses, tried in turn
     token: str
@@ -89,7 +89,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command and return its exit code; errors go to standard error, in one line."""
+    """Run one command and return its exit code; print errors to standard error in one line."""
     configure_log(LogFormat.TEXT, SHELL_LOG_LEVEL)
     try:
         return run_command(parse_arguments(sys.argv[1:] if argv is None else argv))
@@ -101,7 +101,7 @@
         return ExitCode.UNKNOWN
     except BrokenPipeError:
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        return ExitCode.FAILED  # the reader of our output left
+        return ExitCode.FAILED  # the reader of standard output closed it
     except Exception as error:
         internal = LacewingError(f"{type(error).__name__}: {error}")
         print(f"lacewinggw: {internal}", file=sys.stderr)
@@ -110,7 +110,7 @@
 
 
 def exit_code(error: LacewingError) -> ExitCode:
-    """Return the exit code that stands for an error."""
+    """Return the exit code for an error."""
     if error.outcome is Outcome.UNKNOWN:
         return ExitCode.UNKNOWN
     if isinstance(error, SettingsError | LanguageError | BadDeclaration):
@@ -119,7 +119,7 @@
 
 
 def parse_arguments(argv: Sequence[str]) -> dict[str, Any]:
-    """Return the options of a command line; raise `BadUsage` when it fits no usage."""
+    """Return the options of a command line; raise `BadUsage` when it matches no usage."""
     words = list(argv)
     if "--version" in words[:1]:
         return {"--version": True}
@@ -131,7 +131,7 @@
 
 
 def run_command(options: dict[str, Any]) -> int:
-    """Run the command that the options name and return its exit code."""
+    """Run the command given by the options and return its exit code."""
     match options:
         case {"--version": True}:
             print(f"lacewinggw {__version__}")
@@ -175,7 +175,7 @@
 
 
 def check_settings(file: str, role: str | None) -> int:
-    """Check a settings file for a role, or for the one that its sections show."""
+    """Check a settings file for a role, or else for the role that its sections imply."""
     kind = _role_of(file, role)
     load_settings(file, SECTIONS[kind])
     print(f"{file}: good settings for {kind.value}")
@@ -183,7 +183,7 @@
 
 
 def explain_request(request_id: str, files: Sequence[str]) -> int:
-    """Print what the logs say of a request, oldest first."""
+    """Print the log lines about a request, oldest first."""
     from lacewinggw.operators.requeststory import find_story, read_lines, tell_line
 
     texts = [line for file in files for line in read_words(file).splitlines()]
@@ -203,7 +203,10 @@
 
 
 def shell_options(options: dict[str, Any]) -> ShellOptions:
-    """Return where the fleet is: from the command line, else from the settings file."""
+    """Return the connection options from the command line, else from the settings file.
+
+    Raise `BadUsage` when neither names an entry.
+    """
     operator = _operator_settings(options.get("--settings"))
     entries = operator.entries
     if options["--entry"]:
@@ -226,13 +229,16 @@
 
 
 def _parse_entries(text: str) -> list[str]:
-    """Check the addresses of `--entry` as if they stood in a settings file."""
+    """Parse the addresses of `--entry` by the rules of a settings file."""
     ini = f"[operator]\nentries = {text}\n"
     return parse_settings(ini, "--entry", ()).operator.entries
 
 
 def read_words(file: str) -> str:
-    """Return the words in a file, or on standard input for "-"."""
+    """Return the text of a file, or of standard input for "-".
+
+    Raise `BadUsage` when the file cannot be read as UTF-8 text.
+    """
     if file == "-":
         return sys.stdin.read()
     try:
@@ -242,7 +248,7 @@
 
 
 def ask(options: ShellOptions, words: str) -> int:
-    """Put a query or command to an entry and print the answer."""
+    """Send a query or command to an entry and print the response."""
     from lacewinggw.operators.shell import ask_command
 
     return int(ask_command(options, words))
@@ -256,7 +262,7 @@
 
 
 def apply(options: ShellOptions, folder: Path, at_revision: int | None) -> int:
-    """Carry out the declarations in a folder as one revision."""
+    """Apply the declarations in a folder as one revision."""
     from lacewinggw.operators.shell import apply_command
 
     return apply_command(options, folder, at_revision)
--- a/src/lacewinggw/clock.py
+++ b/src/lacewinggw/clock.py
@@ -1,4 +1,4 @@
-"""The clock by which the age of knowledge is counted."""
+"""The clock that measures the age of cached state."""
 
 import time
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 
 
 def read_boot_clock() -> float:
-    """Return seconds since the host was booted, the time it was suspended included.
+    """Return the seconds since the host was booted, including the time it was suspended.
 
-    The clock of the event loop stands still while a host is suspended, so that what a process
-    knew before would look fresh when it wakes up.
+    The clock of the event loop stops while a host is suspended. By that clock, state cached before
+    the suspension would appear fresh afterwards.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/lacewinggw/errors.py
+++ b/src/lacewinggw/errors.py
@@ -1,7 +1,8 @@
-"""Errors: one hierarchy, a stable code for each kind, and messages that name the remedy.
+"""Error hierarchy: a stable code for each kind, and messages that name the remedy.
 
-A class is one kind of error. Its docstring says what it means, its `remedy` what to do. The same
-error travels between processes as a `Failure` message and comes back as the same class:
+Each class is one kind of error. Its docstring is the meaning that the reference page shows, and
+`default_remedy` is the action to take. An error is sent between processes as a `Failure` message
+and converted back to the same class:
 
     try:
         ...
@@ -20,15 +21,15 @@
 
 
 class Outcome(Enum):
-    """What is known of a request that got no answer."""
+    """Whether a request without an answer may have run."""
 
     NONE = ""  # the error is not about a request
-    NOT_RUN = "not-run"  # proved: the request did not run
+    NOT_RUN = "not-run"  # it is certain that the request did not run
     UNKNOWN = "unknown"  # it may have run
 
 
 class Refusal(Enum):
-    """Why a request was refused without being run; counted one by one."""
+    """Why a request was refused without being run; each reason has its own counter."""
 
     NO_TARGET = "no-target"
     OVERLOADED = "overloaded"
@@ -52,10 +53,10 @@
 
 
 class LacewingError(Exception):
-    """Anything that lacewinggw reports as an error.
+    """Any error that lacewinggw reports.
 
-    `reason` says what was met, `remedy` what to do about it. `retry_after_ms` is how long to wait
-    before asking again, in milliseconds, 0 when waiting does not help.
+    `reason` describes the problem and `remedy` the action to take. `retry_after_ms` is the delay in
+    milliseconds before the next attempt, 0 when waiting does not help.
     """
 
     code: ClassVar[str] = "LW-0001"
@@ -77,7 +78,7 @@
         self.retry_after_ms = retry_after_ms
 
     def __init_subclass__(cls) -> None:
-        """Register the class by its code; a family base has none of its own."""
+        """Register the class by its code; a base class without a code is not registered."""
         super().__init_subclass__()
         code = cls.__dict__.get("code")
         if code is None:
@@ -90,7 +91,7 @@
         return f"{self.code} {self.kind}: {self.reason}; remedy: {self.remedy}"
 
     def to_failure(self) -> Failure:
-        """Return the error as a message."""
+        """Return the error as a `Failure` message."""
         return Failure(
             code=self.code,
             reason=self.reason,
@@ -101,10 +102,10 @@
 
     @classmethod
     def from_failure(cls, failure: Failure) -> "LacewingError":
-        """Return the error that a message stands for.
+        """Return the error that a `Failure` message describes.
 
-        An unknown code, from a newer process, becomes the general error of the same outcome, so
-        that no "unknown" is ever taken for "not run".
+        An unknown code, sent by a newer process, becomes the general error of the same outcome.
+        Otherwise the outcome "unknown" could be mistaken for "not run".
         """
         found = _BY_CODE.get(failure.code) or _general_class(failure.outcome)
         return found(
@@ -125,7 +126,7 @@
 
 
 def error_classes() -> Iterator[type[LacewingError]]:
-    """Yield each kind of error, in the order of the codes."""
+    """Yield each error class that has a code, in the order of the codes."""
     yield LacewingError
     for _, found in sorted(_BY_CODE.items()):
         yield found
@@ -135,62 +136,62 @@
 
 
 class SettingsError(LacewingError):
-    """Settings or command line that cannot be used."""
+    """Invalid settings or an invalid command line."""
 
     http_status = 400
     default_remedy = "correct the settings file; docs/SETTINGS.md lists every key"
 
     @classmethod
     def at(cls, file: str, section: str, key: str, met: str, remedy: str = "") -> Self:
-        """Return the error for one place in a settings file: "FILE [section] key: what was met"."""
+        """Return the error for a position in a settings file: "FILE [section] key: problem"."""
         where = f"{file} [{section}]" if section else file
         return cls(f"{where} {key}: {met}" if key else f"{where}: {met}", remedy=remedy)
 
 
 class SettingsUnreadable(SettingsError):
-    """The settings file cannot be read, or is not INI."""
+    """The settings file cannot be read, or is not valid INI."""
 
     code = "LW-1001"
     kind = "settings-unreadable"
 
 
 class UnknownSection(SettingsError):
-    """A section that the schema does not have."""
+    """The schema does not define the section."""
 
     code = "LW-1002"
     kind = "unknown-section"
 
 
 class UnknownKey(SettingsError):
-    """A key that its section does not have."""
+    """The section does not define the key."""
 
     code = "LW-1003"
     kind = "unknown-key"
 
 
 class MissingValue(SettingsError):
-    """A key without a default is left out or empty."""
+    """A required key, which has no default, is missing or empty."""
 
     code = "LW-1004"
     kind = "missing-value"
 
 
 class WrongUnit(SettingsError):
-    """A value without its unit, or with one of another measure."""
+    """The value has no unit, or a unit of a different quantity."""
 
     code = "LW-1005"
     kind = "wrong-unit"
 
 
 class BadValue(SettingsError):
-    """A value that is not of the key's type, or out of its range."""
+    """The value has the wrong type for the key, or is out of range."""
 
     code = "LW-1006"
     kind = "bad-value"
 
 
 class BadAddress(SettingsError):
-    """An address that is not an IP number and a port."""
+    """The address is not an IP address and a port."""
 
     code = "LW-1007"
     kind = "bad-address"
@@ -204,7 +205,7 @@
 
 
 class BadUsage(SettingsError):
-    """A command line that cannot be understood."""
+    """The command line matches no usage."""
 
     code = "LW-1009"
     kind = "bad-usage"
@@ -212,7 +213,7 @@
 
 
 class ListenFailed(SettingsError):
-    """A listener could not be opened on the address that the settings give."""
+    """A listener could not be opened on its configured address."""
 
     code = "LW-1010"
     kind = "listen-failed"
@@ -223,13 +224,13 @@
 
 
 class WireError(LacewingError):
-    """Trouble on one connection, or with what came in on it."""
+    """A failure of a connection, or invalid data received on it."""
 
     http_status = 502
 
 
 class FrameTooLarge(WireError):
-    """A frame is longer than the limit; the connection is closed before it costs memory."""
+    """A frame exceeds the limit; the connection is closed before the frame is buffered."""
 
     code = "LW-2001"
     kind = "frame-too-large"
@@ -237,7 +238,7 @@
 
 
 class ProtocolViolation(WireError):
-    """The other side sent what the protocol does not allow there."""
+    """The peer sent a message that the protocol does not allow in this state."""
 
     code = "LW-2002"
     kind = "protocol-violation"
@@ -246,7 +247,7 @@
 
 
 class BadFleetKey(WireError):
-    """The other side could not prove the fleet key."""
+    """The peer failed to authenticate with the fleet key."""
 
     code = "LW-2003"
     kind = "bad-fleet-key"
@@ -255,7 +256,7 @@
 
 
 class ConnectionLost(WireError):
-    """The connection ended while something was still to come."""
+    """The connection closed while more data was expected."""
 
     code = "LW-2004"
     kind = "connection-lost"
@@ -263,7 +264,7 @@
 
 
 class TimedOut(WireError):
-    """The other side took longer than the time limit."""
+    """The peer did not respond within the time limit."""
 
     code = "LW-2005"
     kind = "timeout"
@@ -272,7 +273,7 @@
 
 
 class BodyTooLarge(WireError):
-    """The body of an HTTP message is longer than the limit."""
+    """The body of an HTTP message exceeds the limit."""
 
     code = "LW-2006"
     kind = "body-too-large"
@@ -282,7 +283,7 @@
 
 
 class MalformedHttp(WireError):
-    """An HTTP request that cannot be understood."""
+    """The HTTP request is malformed."""
 
     code = "LW-2007"
     kind = "malformed-request"
@@ -292,7 +293,7 @@
 
 
 class UnknownPath(WireError):
-    """No such path, or not with that method."""
+    """The path does not exist, or does not support the method."""
 
     code = "LW-2008"
     kind = "unknown-path"
@@ -302,7 +303,7 @@
 
 
 class Unreachable(WireError):
-    """No connection could be made: nothing was sent."""
+    """No connection could be established; nothing was sent."""
 
     code = "LW-2009"
     kind = "unreachable"
@@ -311,7 +312,7 @@
 
 
 class UnsupportedMessage(WireError):
-    """A message that this process has no handler for."""
+    """This process has no handler for the message."""
 
     code = "LW-2010"
     kind = "unsupported-message"
@@ -320,7 +321,7 @@
 
 
 class BadToken(WireError):
-    """The token is missing, unknown, or not good for this listener."""
+    """The token is missing, unknown, or not valid for this listener."""
 
     code = "LW-2011"
     kind = "bad-token"
@@ -333,13 +334,13 @@
 
 
 class PlatformError(LacewingError):
-    """A service of the platform did not do what it was asked."""
+    """A platform service failed to perform an operation."""
 
     http_status = 503
 
 
 class PlatformUnavailable(PlatformError):
-    """The service is down, unreachable, or said no; nothing was written."""
+    """The service is down, unreachable, or refused the operation; nothing was written."""
 
     code = "LW-3001"
     kind = "platform-unavailable"
@@ -347,7 +348,7 @@
 
 
 class WriteUnknown(PlatformError):
-    """The write was sent and no reply came: it may or may not be in effect."""
+    """The write was sent but no reply was received; it may or may not have taken effect."""
 
     code = "LW-3003"
     kind = "write-unknown"
@@ -355,7 +356,7 @@
 
 
 class RowMissing(PlatformError):
-    """There is no such row or object."""
+    """The row or object does not exist."""
 
     code = "LW-3004"
     kind = "not-found"
@@ -364,7 +365,7 @@
 
 
 class PlatformThrottled(PlatformError):
-    """The service is over its rate and asks to wait."""
+    """The service is over its rate limit and requests a delay."""
 
     code = "LW-3005"
     kind = "platform-throttled"
@@ -373,7 +374,7 @@
 
 
 class BadPlatformAnswer(PlatformError):
-    """The service answered what cannot be understood."""
+    """The service sent an invalid response."""
 
     code = "LW-3006"
     kind = "bad-platform-answer"
@@ -382,7 +383,7 @@
 
 
 class EntryUnreadable(PlatformError):
-    """An entry of the store is not what it should be: another writer left or spoilt it."""
+    """An entry of the store is invalid: another writer created or corrupted it."""
 
     code = "LW-3007"
     kind = "entry-unreadable"
@@ -394,13 +395,13 @@
 
 
 class ConfigurationError(LacewingError):
-    """A command that was not accepted, or not known to be."""
+    """A command that was not accepted, or whose acceptance is unknown."""
 
     http_status = 400
 
 
 class ConfigurationConflict(ConfigurationError):
-    """The configuration moved since the command's author read it."""
+    """The configuration changed after the author of the command read it."""
 
     code = "LW-4001"
     kind = "stale-revision"
@@ -409,12 +410,12 @@
 
     @classmethod
     def between(cls, name: str, wanted: str, current: str, revision: int) -> Self:
-        """Return the error that shows both values of what two operators set at once."""
+        """Return the error that shows both values of a setting that two operators changed."""
         return cls(f"{name} changed at revision {revision}: yours is {wanted}, now is {current}")
 
 
 class UnknownName(ConfigurationError):
-    """A service, release or host that the configuration does not have."""
+    """The configuration does not contain the service, release or host."""
 
     code = "LW-4002"
     kind = "unknown-name"
@@ -423,7 +424,7 @@
 
 
 class NoConfiguration(ConfigurationError):
-    """The process has no configuration yet and serves nothing."""
+    """The process has no configuration yet and serves no requests."""
 
     code = "LW-4003"
     kind = "no-configuration"
@@ -432,7 +433,7 @@
 
 
 class AcceptanceUnknown(ConfigurationError):
-    """Whether the command was accepted cannot be told now."""
+    """It is currently unknown whether the command was accepted."""
 
     code = "LW-4004"
     kind = "acceptance-unknown"
@@ -442,7 +443,7 @@
 
 
 class InvalidChange(ConfigurationError):
-    """A command that contradicts the configuration."""
+    """The command contradicts the configuration."""
 
     code = "LW-4005"
     kind = "invalid-change"
@@ -450,7 +451,7 @@
 
 
 class AlreadyExists(ConfigurationError):
-    """The name is taken by something else."""
+    """The name is already in use."""
 
     code = "LW-4006"
     kind = "already-exists"
@@ -459,7 +460,7 @@
 
 
 class StillInUse(ConfigurationError):
-    """What is to be removed is still in use."""
+    """The item to remove is still in use."""
 
     code = "LW-4007"
     kind = "still-in-use"
@@ -468,7 +469,7 @@
 
 
 class BadDeclaration(ConfigurationError):
-    """A declaration file that cannot be used."""
+    """The declaration file is invalid."""
 
     code = "LW-4008"
     kind = "bad-declaration"
@@ -479,7 +480,7 @@
 
 
 class LanguageError(LacewingError):
-    """A command or query that cannot be understood."""
+    """A syntax error in a command or query."""
 
     code = "LW-5001"
     kind = "syntax-error"
@@ -504,7 +505,7 @@
 
 
 class UnknownColumn(LanguageError):
-    """A query names a column that its table does not have."""
+    """The query names a column that its table does not have."""
 
     code = "LW-5002"
     kind = "unknown-column"
@@ -514,7 +515,7 @@
 
 
 class RequestRefused(LacewingError):
-    """A request that did not run; it may be sent again without risk."""
+    """The request did not run; it can be sent again safely."""
 
     code = "LW-6000"
     kind = "refused"
@@ -526,12 +527,12 @@
 
     @classmethod
     def because(cls, refusal: Refusal, reason: str, retry_after_ms: int = 0) -> "RequestRefused":
-        """Return the error of the class that stands for `refusal`."""
+        """Return an error of the class for `refusal`."""
         return _BY_REFUSAL[refusal](reason, retry_after_ms=retry_after_ms)
 
 
 class NoTarget(RequestRefused):
-    """No target that may be used serves the service now."""
+    """No available target currently serves the service."""
 
     code = "LW-6001"
     kind = Refusal.NO_TARGET.value
@@ -547,7 +548,7 @@
 
 
 class AccountLimit(RequestRefused):
-    """The client account is over its rate or its number of requests at once."""
+    """The client account is over its limit on the request rate or on concurrent requests."""
 
     code = "LW-6003"
     kind = Refusal.ACCOUNT_LIMIT.value
@@ -557,7 +558,7 @@
 
 
 class Draining(RequestRefused):
-    """The process or the target is leaving and takes no new work."""
+    """The process or the target is shutting down and accepts no new requests."""
 
     code = "LW-6004"
     kind = Refusal.DRAINING.value
@@ -566,7 +567,7 @@
 
 
 class DeadlineTooNear(RequestRefused):
-    """The request's deadline has passed, or would before it could run."""
+    """The request's deadline has passed, or would pass before it could run."""
 
     code = "LW-6005"
     kind = Refusal.DEADLINE.value
@@ -575,7 +576,7 @@
 
 
 class KeyReused(RequestRefused):
-    """The idempotency key belongs to a request with another content."""
+    """The idempotency key belongs to a request with different content."""
 
     code = "LW-6006"
     kind = Refusal.KEY_REUSED.value
@@ -585,7 +586,7 @@
 
 
 class StoreDown(RequestRefused):
-    """The claim of a keyed request cannot be written while the store is down."""
+    """The store is down, so the claim of a request with a key cannot be written."""
 
     code = "LW-6007"
     kind = Refusal.STORE_DOWN.value
@@ -594,7 +595,7 @@
 
 
 class UnknownService(RequestRefused):
-    """The configuration has no such service."""
+    """The service does not exist in the configuration."""
 
     code = "LW-6008"
     kind = Refusal.UNKNOWN_SERVICE.value
@@ -604,7 +605,7 @@
 
 
 class TicketExpired(RequestRefused):
-    """The reservation or ticket was not used in time, or was used already without a start."""
+    """The reservation or ticket expired, or was already used without starting a request."""
 
     code = "LW-6009"
     kind = Refusal.TICKET_EXPIRED.value
@@ -629,7 +630,7 @@
 
 
 class TargetRefused(RequestRefused):
-    """The target itself said that it did not run the request."""
+    """The target reported that it did not run the request."""
 
     code = "LW-6012"
     kind = Refusal.TARGET_REFUSED.value
@@ -637,7 +638,7 @@
 
 
 class RetryBudgetSpent(RequestRefused):
-    """The first try did not run, and retries are at their share of all requests."""
+    """The first attempt did not run, and retries have reached their share of all requests."""
 
     code = "LW-6013"
     kind = Refusal.RETRY_BUDGET.value
@@ -663,7 +664,7 @@
 
 
 class RequestQuarantined(RequestRefused):
-    """Each target that began the same request ended; it reaches none until its time is over."""
+    """Each target that started this request ended; the request is quarantined for a time."""
 
     code = "LW-6016"
     kind = Refusal.QUARANTINED.value
@@ -675,7 +676,7 @@
 
 
 class RequestUnknown(LacewingError):
-    """A request that may have run; only an idempotent one may be sent again without risk."""
+    """The request may have run; only an idempotent request can be sent again safely."""
 
     code = "LW-7000"
     kind = "unknown"
@@ -700,21 +701,21 @@
 
 
 class TargetFailed(RequestUnknown):
-    """The target failed while it ran the request."""
+    """The target failed while running the request."""
 
     code = "LW-7003"
     kind = "target-failed"
 
 
 class AnswerIncomplete(RequestUnknown):
-    """The answer broke off, or its pieces do not match their count and digest."""
+    """The answer was truncated, or its pieces do not match their count and digest."""
 
     code = "LW-7004"
     kind = "answer-incomplete"
 
 
 class HolderGone(RequestUnknown):
-    """The agent that held the request's claim is gone, and with it what it knew."""
+    """The agent that held the request's claim is gone, and its state is lost."""
 
     code = "LW-7005"
     kind = "holder-gone"
@@ -722,7 +723,7 @@
 
 
 class AnswerGone(RequestUnknown):
-    """The request with this key ran, but its answer is not kept any more."""
+    """The request with this key ran, but its answer is no longer stored."""
 
     code = "LW-7007"
     kind = "answer-gone"
@@ -731,7 +732,7 @@
 
 
 class ClaimUnreadable(RequestUnknown):
-    """The store is down, and an earlier sending of the same key may have run."""
+    """The store is down, and an earlier request with the same key may have run."""
 
     code = "LW-7008"
     kind = "claim-unreadable"
@@ -743,13 +744,13 @@
 
 
 class WeightsError(LacewingError):
-    """Weights that cannot be had whole."""
+    """Complete weights could not be obtained."""
 
     http_status = 503
 
 
 class CorruptChunk(WeightsError):
-    """A chunk does not match its hash and was dropped."""
+    """A chunk does not match its hash and was discarded."""
 
     code = "LW-8001"
     kind = "corrupt-chunk"
@@ -757,7 +758,7 @@
 
 
 class UnknownDigest(WeightsError):
-    """No manifest is known for the digest."""
+    """No manifest was found for the digest."""
 
     code = "LW-8003"
     kind = "unknown-digest"
@@ -766,7 +767,7 @@
 
 
 class NoSource(WeightsError):
-    """No neighbour, origin or weight store gives a chunk."""
+    """No neighbour, origin or weight store can supply a chunk."""
 
     code = "LW-8004"
     kind = "no-source"
@@ -774,7 +775,7 @@
 
 
 class ManifestMismatch(WeightsError):
-    """A manifest does not match the digest it was asked by."""
+    """The manifest does not match the requested digest."""
 
     code = "LW-8005"
     kind = "manifest-mismatch"
@@ -782,7 +783,7 @@
 
 
 class ChunkNotHeld(WeightsError):
-    """The host does not hold the chunk that it was asked for."""
+    """The host does not have the requested chunk."""
 
     code = "LW-8006"
     kind = "chunk-not-held"
@@ -791,7 +792,7 @@
 
 
 class LinkBusy(WeightsError):
-    """The source has no upload to spare now."""
+    """The source has no free upload slot."""
 
     code = "LW-8007"
     kind = "link-busy"
@@ -802,13 +803,13 @@
 
 
 class OrderError(LacewingError):
-    """An order to a target that was not carried out."""
+    """An order to a target was not executed."""
 
     http_status = 409
 
 
 class StaleFence(OrderError):
-    """The order carries an older revision than one that was carried out."""
+    """The order has an older revision than one that was already executed."""
 
     code = "LW-9001"
     kind = "stale-fence"
@@ -824,7 +825,7 @@
 
 
 class ReadBackMismatch(OrderError):
-    """The target reports another state than the one that was ordered."""
+    """The target reports a state that differs from the ordered one."""
 
     code = "LW-9003"
     kind = "read-back-mismatch"
@@ -832,7 +833,7 @@
 
 
 class TargetUnreachable(OrderError):
-    """The target does not answer on the address that the settings give."""
+    """The target does not respond on its configured address."""
 
     code = "LW-9004"
     kind = "target-unreachable"
--- a/src/lacewinggw/health.py
+++ b/src/lacewinggw/health.py
@@ -1,4 +1,4 @@
-"""What `/metrics` and `/healthz` answer; the caller puts it on its HTTP listener."""
+"""Responses of `/metrics` and `/healthz`; the caller serves them on its HTTP listener."""
 
 import json
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Readiness:
-    """Whether a process can serve; `reason` says why not, and `revision` what it has applied."""
+    """Whether a process can serve, the `reason` if it cannot, and its applied `revision`."""
 
     ready: bool
     reason: str = ""
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Page:
-    """An HTTP answer in full."""
+    """A complete HTTP response."""
 
     status: int
     content_type: str
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True)
 class Health:
-    """The two pages of one process.
+    """The metrics and health pages of one process.
 
-    `readiness` is asked anew for each answer; a process is ready only with a configuration.
+    `readiness` is called for each response; a process is ready only with a configuration.
     """
 
     metrics: Metrics
     readiness: Callable[[], Readiness]
 
     def page(self, path: str) -> Page | None:
-        """Return the answer for `path`, or None when it is neither page."""
+        """Return the response for `path`, or None when it is neither page."""
         match path:
             case "/metrics":
                 return Page(STATUS_READY, METRICS_TYPE, self.metrics.render().encode())
--- a/src/lacewinggw/ids.py
+++ b/src/lacewinggw/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers: one `NewType` each, so that mypy tells a host from a place."""
+"""Identifiers: one `NewType` each, so that mypy distinguishes a host from a place."""
 
 import random
 from typing import NewType
@@ -11,16 +11,16 @@
 Digest = NewType("Digest", str)  # lower-case hexadecimal SHA-256
 Incarnation = NewType("Incarnation", str)
 RequestId = NewType("RequestId", str)
-RequestDigest = NewType("RequestDigest", str)  # the same for each attempt at one request
+RequestDigest = NewType("RequestDigest", str)  # the same for each attempt of a request
 Account = NewType("Account", str)
 CommandId = NewType("CommandId", str)
 RouteName = NewType("RouteName", str)
 ModelName = NewType("ModelName", str)
-TargetName = NewType("TargetName", str)  # as its operators list it: a restart may keep it
-TargetId = NewType("TargetId", str)  # of one start of a target: a restart has another
+TargetName = NewType("TargetName", str)  # as operators list it; may stay the same across a restart
+TargetId = NewType("TargetId", str)  # of one incarnation of a target; changes with each restart
 Revision = NewType("Revision", int)
 Nonce = NewType("Nonce", bytes)
-LeaseId = NewType("LeaseId", int)  # of a slot at one target, as its agent counts them
+LeaseId = NewType("LeaseId", int)  # of a slot at one target, numbered by the target's agent
 
 ID_BITS = 96
 NONCE_BYTES = 16
@@ -31,27 +31,27 @@
 
 
 def new_incarnation(source: random.Random) -> Incarnation:
-    """Return a fresh incarnation, drawn once per process start."""
+    """Return a new incarnation; each process generates one when it starts."""
     return Incarnation(_hex_id(source))
 
 
 def new_request_id(source: random.Random) -> RequestId:
-    """Return a fresh request id."""
+    """Return a new request id."""
     return RequestId(_hex_id(source))
 
 
 def new_command_id(source: random.Random) -> CommandId:
-    """Return a fresh command id, by which a lost reply is resolved."""
+    """Return a new command id, used to look up the outcome when a reply is lost."""
     return CommandId(_hex_id(source))
 
 
 def new_nonce(source: random.Random) -> Nonce:
-    """Return a fresh nonce. For real use the source must be `random.SystemRandom()`."""
+    """Return a new nonce. In production the source must be `random.SystemRandom()`."""
     return Nonce(source.randbytes(NONCE_BYTES))
 
 
 def new_nonce_text(source: random.Random) -> str:
-    """Return a fresh nonce as hexadecimal text, for reservations and tickets."""
+    """Return a new nonce as hexadecimal text, for reservations and tickets."""
     return new_nonce(source).hex()
 
 
@@ -61,7 +61,7 @@
     >>> split_address("127.0.0.1:8080")
     ('127.0.0.1', 8080)
 
-    An IPv6 number stands in brackets. Raise `ValueError` when there is no port number.
+    An IPv6 address is enclosed in brackets. Raise `ValueError` when there is no port number.
     """
     host, separator, port = address.rpartition(":")
     if not separator or not port.isdecimal():
@@ -70,5 +70,5 @@
 
 
 def join_address(host: str, port: int) -> Address:
-    """Join an IP number and a port into "ip:port"."""
+    """Join an IP address and a port into "ip:port"."""
     return Address(f"[{host}]:{port}" if ":" in host else f"{host}:{port}")
--- a/src/lacewinggw/log.py
+++ b/src/lacewinggw/log.py
@@ -1,9 +1,9 @@
-"""Structured logs: one event name for each event, as JSON lines or as text for people.
+"""Structured logging: one event name for each event, as JSON lines or as human-readable text.
 
     log = get_logger(__name__)
     log.info("request_refused", request_id=request_id, reason=error.kind)
 
-Event names are lower-case words joined by underscores; what varies goes into fields.
+Event names are lower-case words joined by underscores; variable data goes into fields.
 """
 
 import logging
@@ -20,17 +20,17 @@
 
 
 class LineStream(Protocol):
-    """What log lines are written to."""
+    """Destination of log lines."""
 
     def write(self, text: str, /) -> int:
         """Write a line."""
 
     def flush(self) -> None:
-        """Write what is kept."""
+        """Write buffered lines."""
 
 
 class LogFormat(Enum):
-    """How a line is written."""
+    """Format of a log line."""
 
     JSON = "json"
     TEXT = "text"
@@ -41,7 +41,7 @@
     level: str,
     stream: LineStream | None = None,
 ) -> None:
-    """Set logging up for the process; to `stream`, or to standard error."""
+    """Configure logging for the process, to `stream` or else to standard error."""
     out = stream or sys.stderr
     structlog.configure(
         processors=[
@@ -64,7 +64,7 @@
     incarnation: str,
     stream: LineStream | None = None,
 ) -> None:
-    """Set logging up from settings, with host, place, role and incarnation on every line."""
+    """Configure logging from settings; add host, place, role and incarnation to every line."""
     configure_log(LogFormat(settings.log_format), settings.log_level, stream)
     structlog.contextvars.clear_contextvars()
     structlog.contextvars.bind_contextvars(
@@ -76,7 +76,7 @@
 
 
 def get_logger(module: str = "", **fields: Any) -> Logger:
-    """Return a logger with the module's name, if given, and `fields` on each of its lines."""
+    """Return a logger that adds the module's name, if given, and `fields` to each line."""
     if module:
         fields["module"] = module.removeprefix("lacewinggw.")
     logger: Logger = structlog.get_logger(**fields)
@@ -96,7 +96,7 @@
 
 
 def _expand_error(_: Any, __: str, event: Any) -> Any:
-    """Turn a field `error` that holds one of our errors into code, kind, reason and remedy."""
+    """Expand a `LacewingError` in the field `error` into code, kind, reason and remedy."""
     error = event.get("error")
     if isinstance(error, LacewingError):
         event["error"] = error.kind
--- a/src/lacewinggw/logstream.py
+++ b/src/lacewinggw/logstream.py
@@ -1,8 +1,8 @@
-"""Standard output as a place for log lines that never holds up the process.
+"""Non-blocking log output to a file descriptor.
 
-Lines are written without waiting. What a slow reader leaves is kept up to a limit, and lines over a
-rate are dropped, so that a burst of trouble costs a bounded amount of work; the next line that goes
-out is preceded by one that counts what was dropped.
+Writes never block the process. Lines that a slow reader has not consumed are buffered up to a
+limit. Lines over a rate limit are dropped, so that a burst of errors costs a bounded amount of
+work. The next line written after a drop is preceded by a line with the number of dropped lines.
 """
 
 import json
@@ -10,15 +10,15 @@
 import time
 from collections.abc import Callable
 
-MAX_BUFFER_BYTES = 1 << 18  # for a reader that pauses: about a second of lines at the highest rate
-LINES_PER_S = 400.0  # 20 times the requests of an entry today; a line costs about 0.1 ms
+MAX_BUFFER_BYTES = 1 << 18  # for a reader that pauses: about 1 s of lines at the maximum rate
+LINES_PER_S = 400.0  # 20 times the current request rate of an entry; a line costs about 0.1 ms
 BURST_LINES = 800.0
 
 Write = Callable[[int, bytes], int]
 
 
 class LogStream:
-    """A text stream on a file descriptor that drops lines rather than wait.
+    """A text stream on a file descriptor that drops lines instead of blocking.
 
     stream = LogStream.for_stdout()
     stream.write("a line\\n")
@@ -35,10 +35,10 @@
         self._descriptor = descriptor
         self._write = write
         self._clock = clock
-        self._kept = bytearray()
+        self._buffer = bytearray()
         self._tokens = BURST_LINES
         self._filled_at = clock()
-        self._untold = 0
+        self._unreported = 0
 
     @classmethod
     def for_stdout(cls) -> "LogStream":
@@ -48,21 +48,21 @@
 
     def write(self, text: str) -> int:
         """Write a line, or drop it and count it."""
-        if not self._take_token() or len(self._kept) > MAX_BUFFER_BYTES:
+        if not self._take_token() or len(self._buffer) > MAX_BUFFER_BYTES:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
             self._send()
             return len(text)
-        if self._untold:
-            told, self._untold = self._untold, 0
-            line = json.dumps({"event": "log_lines_dropped", "count": told})
-            self._kept += f"{line}\n".encode()
-        self._kept += text.encode()
+        if self._unreported:
+            unreported, self._unreported = self._unreported, 0
+            line = json.dumps({"event": "log_lines_dropped", "count": unreported})
+            self._buffer += f"{line}\n".encode()
+        self._buffer += text.encode()
         self._send()
         return len(text)
 
     def flush(self) -> None:
-        """Try once more to write what is kept."""
+        """Try again to write the buffered lines."""
         self._send()
 
     def _take_token(self) -> bool:
@@ -76,12 +76,12 @@
 
     def _send(self) -> None:
         try:
-            while self._kept:
-                sent = self._write(self._descriptor, bytes(self._kept))
-                del self._kept[:sent]
+            while self._buffer:
+                sent = self._write(self._descriptor, bytes(self._buffer))
+                del self._buffer[:sent]
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more: there is nowhere left to say so.
+            # The reader has closed the stream, so the error cannot be logged.
             self.dropped += 1
-            self._kept.clear()
+            self._buffer.clear()
--- a/src/lacewinggw/metricnames.py
+++ b/src/lacewinggw/metricnames.py
@@ -1,6 +1,6 @@
-"""Every metric that a process keeps: its name, its kind, and what it means to an operator.
+"""All metrics of the processes: name, kind, and meaning for an operator.
 
-`/metrics` gives these words as help; docs/operators/METRICS.md lists them.
+`/metrics` exports the meanings as help texts; docs/operators/METRICS.md lists them.
 """
 
 from collections.abc import Mapping
@@ -9,7 +9,7 @@
 
 
 class MetricKind(Enum):
-    """How a metric behaves; the value is Prometheus's word for it."""
+    """Kind of a metric; the value is the Prometheus type."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class MetricFacts:
-    """What is to be known of one metric; `role` is the kind of process that keeps it."""
+    """Description of one metric; `role` is the kind of process that exports it."""
 
     kind: MetricKind
     role: str
@@ -98,6 +98,6 @@
 
 
 def help_of(name: str) -> str:
-    """Return the meaning of a metric, or an empty text for a name that is not listed."""
+    """Return the meaning of a metric, or an empty string for an unlisted name."""
     facts = METRICS.get(name)
     return facts.meaning if facts is not None else ""
--- a/src/lacewinggw/metrics.py
+++ b/src/lacewinggw/metrics.py
@@ -1,7 +1,7 @@
 """Metrics: counters, gauges and latencies of one process, in Prometheus text format.
 
-Every refusal and every retry is counted by its reason, and each reason is there from the start
-with 0, so that an operator sees what can be counted. Latencies go into HDR histograms.
+Refusals and retries are counted by reason. Each reason is exported from the start with the value 0,
+so that an operator sees which reasons exist. Latencies are recorded in HDR histograms.
 
     metrics = Metrics()
     metrics.refuse(Refusal.NO_TARGET)
@@ -26,7 +26,7 @@
 HIGHEST_US = 3600 * MICROSECONDS
 SIGNIFICANT_FIGURES = 2
 QUANTILES = (0.5, 0.95, 0.99, 1.0)
-SERIES_LIMIT = 512  # of one name; what comes after is counted together as "other"
+SERIES_LIMIT = 512  # for each metric name; further series are counted together as "other"
 OTHER = "other"
 
 LabelValue = str | Enum
@@ -34,34 +34,34 @@
 
 
 class RetryReason(Enum):
-    """Why something was tried again."""
-
-    TARGET_REFUSED = "target-refused"  # the target said that it did not run the request
-    TARGET_OVERLOADED = "target-overloaded"  # the agent's queue had no room
-    TARGET_DRAINING = "target-draining"  # the target is leaving
-    TARGET_UNREACHABLE = "target-unreachable"  # no connection to the agent came about
-    TARGET_FAILED = "target-failed"  # the target failed; only for what may be repeated
-    WITHDRAWN = "withdrawn"  # withdrawn before its start, and offered to another target
+    """Why an operation was retried."""
+
+    TARGET_REFUSED = "target-refused"  # the target reported that it did not run the request
+    TARGET_OVERLOADED = "target-overloaded"  # the agent's queue was full
+    TARGET_DRAINING = "target-draining"  # the target is shutting down
+    TARGET_UNREACHABLE = "target-unreachable"  # no connection to the agent could be established
+    TARGET_FAILED = "target-failed"  # the target failed; only for requests that may be repeated
+    WITHDRAWN = "withdrawn"  # withdrawn before it started, and sent to another target
     RESERVATION_LAPSED = "reservation-lapsed"  # the reservation was not used in time
-    RELEASE_MOVED = "release-moved"  # the target serves other weights by now
-    STREAM_RESUMED = "stream-resumed"  # a cut stream goes on at another target of the same weights
-    STREAM_RESTARTED = "stream-restarted"  # a cut stream begins again, as nothing had been sent on
-    PEER_LOST = "peer-lost"  # the connection to the agent was lost; only for what may be repeated
-    PLATFORM_UNAVAILABLE = "platform-unavailable"  # a service of the platform does not answer
-    PLATFORM_THROTTLED = "platform-throttled"  # a service of the platform asks to slow down
-    WRITE_UNKNOWN = "write-unknown"  # no reply came to a write; the row is read back
-    COMPARE_AND_SET = "compare-and-set"  # another writer was first; the row is read again
-    CHUNK_CORRUPT = "chunk-corrupt"  # a chunk did not match its hash; another source is asked
-    CHUNK_STALLED = "chunk-stalled"  # a chunk did not move; another source is asked
-    SOURCE_LOST = "source-lost"  # a neighbour left or refused a chunk; another source is asked
-    SOURCE_BUSY = "source-busy"  # a source had no upload to spare
-    ORIGIN_FAILED = "origin-failed"  # the origin or the weight store did not give a chunk
+    RELEASE_MOVED = "release-moved"  # the target now serves other weights
+    STREAM_RESUMED = "stream-resumed"  # a cut stream continues at a target of the same weights
+    STREAM_RESTARTED = "stream-restarted"  # a cut stream starts again, as no output had been sent
+    PEER_LOST = "peer-lost"  # the connection to the agent was lost; only for repeatable requests
+    PLATFORM_UNAVAILABLE = "platform-unavailable"  # a platform service does not respond
+    PLATFORM_THROTTLED = "platform-throttled"  # a platform service requests a lower rate
+    WRITE_UNKNOWN = "write-unknown"  # a write got no reply; the row is read back
+    COMPARE_AND_SET = "compare-and-set"  # another writer changed the row; it is read again
+    CHUNK_CORRUPT = "chunk-corrupt"  # a chunk did not match its hash; another source is tried
+    CHUNK_STALLED = "chunk-stalled"  # a chunk made no progress; another source is tried
+    SOURCE_LOST = "source-lost"  # a neighbour left or refused a chunk; another source is tried
+    SOURCE_BUSY = "source-busy"  # a source had no free upload slot
+    ORIGIN_FAILED = "origin-failed"  # the origin or the weight store did not supply a chunk
     ORDER_FAILED = "order-failed"  # an order to the target, or reading its state, failed
-    READ_BACK = "read-back"  # the target reported another state than ordered
+    READ_BACK = "read-back"  # the target reported a state that differs from the ordered one
 
 
 class Counter:
-    """A number that only rises."""
+    """A monotonically increasing number."""
 
     __slots__ = ("value",)
 
@@ -69,12 +69,12 @@
         self.value: int = 0
 
     def add(self, amount: int = 1) -> None:
-        """Raise the counter."""
+        """Increase the counter by `amount`."""
         self.value += amount
 
 
 class Gauge:
-    """A number that rises and falls, set or read when rendered."""
+    """A number that can rise and fall, either set or read from a function when rendered."""
 
     __slots__ = ("read", "value")
 
@@ -87,12 +87,12 @@
         self.value = value
 
     def current(self) -> float:
-        """Return the value now."""
+        """Return the current value."""
         return self.value if self.read is None else self.read()
 
 
 class Latency:
-    """A distribution of durations, to two significant figures, from a microsecond to an hour."""
+    """A distribution of durations from 1 us to 1 h, with two significant figures."""
 
     __slots__ = ("_histogram", "_total_us")
 
@@ -102,22 +102,22 @@
 
     @property
     def count(self) -> int:
-        """How many durations were recorded."""
+        """Number of recorded durations."""
         return int(self._histogram.get_total_count())
 
     @property
     def total_s(self) -> float:
-        """The sum of the durations, in seconds."""
+        """Sum of the durations, in seconds."""
         return self._total_us / MICROSECONDS
 
     def record(self, seconds: float) -> None:
-        """Record one duration, in seconds; out of range counts as the nearest that is in."""
+        """Record one duration in seconds, clamped to the range of the histogram."""
         microseconds = min(max(int(seconds * MICROSECONDS), LOWEST_US), HIGHEST_US)
         self._histogram.record_value(microseconds)
         self._total_us += microseconds
 
     def quantile(self, share: float) -> float:
-        """Return the duration, in seconds, that `share` (0 to 1) of all stay within."""
+        """Return the `share` quantile (0 to 1) of the durations, in seconds."""
         return float(self._histogram.get_value_at_percentile(share * 100)) / MICROSECONDS
 
 
@@ -125,7 +125,7 @@
 
 
 class _Family(Generic[Series]):
-    """All series of one name, told apart by their labels, up to a limit."""
+    """All series of one metric name by their labels, up to `SERIES_LIMIT`."""
 
     def __init__(self, make: Callable[[], Series]) -> None:
         self._make: Callable[[], Series] = make
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True)
 class Quantiles:
-    """What a snapshot says of one latency, in seconds."""
+    """Quantiles of one latency in a snapshot, in seconds."""
 
     count: int
     p50_s: float
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True)
 class MetricsSnapshot:
-    """All metrics at one moment; a series is named as in Prometheus text."""
+    """All metrics at one point in time; series are named as in Prometheus text."""
 
     counters: dict[str, int]
     gauges: dict[str, float]
@@ -171,36 +171,36 @@
         self._retries = {each: self.counter("retries", reason=each) for each in RetryReason}
 
     def counter(self, name: str, **labels: LabelValue) -> Counter:
-        """Return the counter of that name and labels, at 0 when it is new."""
+        """Return the counter with the name and labels; create it with 0 if missing."""
         return self._counters.setdefault(name, _Family(Counter)).get(_label_key(labels))
 
     def gauge(self, name: str, **labels: LabelValue) -> Gauge:
-        """Return the gauge of that name and labels, at 0 when it is new."""
+        """Return the gauge with the name and labels; create it with 0 if missing."""
         return self._gauges.setdefault(name, _Family(Gauge)).get(_label_key(labels))
 
     def latency(self, name: str, **labels: LabelValue) -> Latency:
-        """Return the latency of that name and labels, empty when it is new."""
+        """Return the latency with the name and labels; create an empty one if missing."""
         return self._latencies.setdefault(name, _Family(Latency)).get(_label_key(labels))
 
     def count(self, name: str, amount: int = 1, **labels: LabelValue) -> None:
-        """Raise a counter; on a hot path keep the `counter` instead."""
+        """Increase a counter; on a hot path, store the result of `counter` instead."""
         self.counter(name, **labels).add(amount)
 
     def refuse(self, refusal: Refusal) -> None:
-        """Count a request that was refused as not run."""
+        """Count a request that was refused without being run."""
         self._refusals[refusal].add()
 
     def count_refusal_error(self, error: LacewingError) -> None:
-        """Count an error that is told to the other side, if it is a refusal."""
+        """Count an error that is sent to the peer, if it is a refusal."""
         if isinstance(error, RequestRefused) and error.refusal is not None:
             self.refuse(error.refusal)
 
     def retry(self, reason: RetryReason) -> None:
-        """Count something that is tried again."""
+        """Count a retry."""
         self._retries[reason].add()
 
     def read_gauge(self, name: str, read: Callable[[], float], **labels: LabelValue) -> None:
-        """Have a gauge read from a function each time it is rendered."""
+        """Register a function that supplies the value of a gauge when it is rendered."""
         self.gauge(name, **labels).read = read
 
     def render(self) -> str:
--- a/src/lacewinggw/reloading.py
+++ b/src/lacewinggw/reloading.py
@@ -1,4 +1,4 @@
-"""Take in a changed settings file while a process runs: on SIGHUP, or when it is seen to change."""
+"""Reload a changed settings file at run time, on SIGHUP or when polling detects a change."""
 
 import asyncio
 import os
@@ -10,15 +10,15 @@
 from lacewinggw.generated.settings.ttypes import Settings
 from lacewinggw.log import get_logger
 
-POLL_PERIOD_S = 1.0  # between looks at the file: a change without a signal is in force within this
+POLL_PERIOD_S = 1.0  # a change without a signal takes effect within this time
 
 log = get_logger(__name__)
 
 
 class SettingsWatch:
-    """Loads the file at `path` again whenever it may have changed, and hands it to `apply`.
+    """Reloads the file at `path` whenever it may have changed, and passes the result to `apply`.
 
-    A file that cannot be read, or that is wrong, changes nothing; the log says what to mend.
+    An unreadable or invalid file changes nothing; the error is logged with its remedy.
     """
 
     def __init__(
@@ -31,18 +31,18 @@
         self._loop = Background("settings", self._run)
 
     async def start(self) -> None:
-        """Begin to watch."""
+        """Start watching."""
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload)
         self._loop.start()
 
     async def close(self) -> None:
-        """Stop watching; SIGHUP is ignored from now on, as the process is about to end."""
+        """Stop watching, and ignore SIGHUP because the process is about to exit."""
         asyncio.get_running_loop().remove_signal_handler(signal.SIGHUP)
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         await self._loop.close()
 
     def reload(self) -> None:
-        """Load the file now."""
+        """Load the file and apply it; log the error and keep the settings when it is invalid."""
         self._seen = self._stamp()
         try:
             settings = self._load()
--- a/src/lacewinggw/service.py
+++ b/src/lacewinggw/service.py
@@ -1,4 +1,4 @@
-"""Run a process until a signal asks it to leave, then let it drain."""
+"""Run a process until a termination signal, then drain it."""
 
 import asyncio
 import signal
@@ -13,9 +13,8 @@
 async def run_until_signalled(start: Step, drain: Step, close: Step) -> None:
     """Await `start`, wait for SIGTERM or SIGINT, then await `drain` and `close`.
 
-    A signal while starting cancels `start`; a second one while draining cancels `drain`. What has
-    not started is not drained. `close` is awaited whatever happens, so that what was opened is
-    closed.
+    A signal during `start` cancels it; a second signal during `drain` cancels that. A process that
+    has not started is not drained. `close` is always awaited, so that open resources are closed.
     """
     loop = asyncio.get_running_loop()
     leaving = asyncio.Event()
@@ -43,7 +42,7 @@
 
 
 async def _finish_unless(step: Step, signalled: asyncio.Event) -> bool:
-    """Await `step`, but cancel it once `signalled`; tell whether it finished."""
+    """Await `step`, but cancel it once `signalled` is set; return whether it finished."""
     running = asyncio.ensure_future(step())
     waiting = asyncio.ensure_future(signalled.wait())
     try:
--- a/src/lacewinggw/settings.py
+++ b/src/lacewinggw/settings.py
@@ -1,8 +1,8 @@
-"""Settings: an INI file checked against the schema, into the schema's own typed structs.
+"""Settings: parse an INI file, validate it against the schema, and return the schema's structs.
 
-Sections and keys are those of schema/settings.thrift; docs/SETTINGS.md lists them. A process names
-the sections that it needs; a required key counts only there, so that one file can serve an entry
-and an agent. Example:
+schema/settings.thrift defines the sections and keys; docs/SETTINGS.md lists them. A process names
+the sections that it needs. Required keys are enforced only in these, so that an entry and an agent
+can share one file. Example:
 
     settings = load_settings(Path("entry.ini"), SECTIONS[ProcessKind.ENTRY])
     settings.platform.timeout_ms
@@ -38,7 +38,7 @@
 
 
 def default_settings() -> Settings:
-    """Return settings with every default; a required key is an empty text."""
+    """Return settings with all defaults; a required key is an empty string."""
     return _build_settings({})
 
 
@@ -55,8 +55,8 @@
 def load_settings(path: Path | str, sections: Iterable[str]) -> Settings:
     """Read and check the settings file at `path`.
 
-    `sections` are those whose required keys must be there. Raise the `SettingsError` for the first
-    fault found: it names the file, section and key, and what to write instead.
+    The required keys of `sections` must be present. Raise a `SettingsError` for the first error
+    found; it names the file, section and key, and what to write instead.
     """
     name = str(path)
     return parse_settings(_read_text(path), name, sections)
@@ -75,7 +75,10 @@
 
 
 def parse_settings(text: str, name: str, sections: Iterable[str]) -> Settings:
-    """Check the text of a settings file; `name` stands for the file in errors."""
+    """Parse and check the text of a settings file; errors refer to the file as `name`.
+
+    Raise a `SettingsError` as `load_settings` does.
+    """
     ini = _parse_ini(text, name)
     values: dict[tuple[str, str], Value] = {}
     for section in ini.sections():
@@ -103,7 +106,7 @@
 
 def _new_parser() -> configparser.RawConfigParser:
     ini = configparser.RawConfigParser(
-        default_section="\0",  # no section is special
+        default_section="\0",  # no section holds defaults for the others
         inline_comment_prefixes=("#",),
     )
     ini.optionxform = str  # type: ignore[assignment, method-assign]
@@ -166,7 +169,7 @@
 
 
 def _overlap(one: str, other: str) -> bool:
-    """Return whether two listeners cannot both be opened; port 0 lets the system choose."""
+    """Return whether two listeners conflict; with port 0 the system chooses a free port."""
     one_host, one_port = split_address(one)
     other_host, other_port = split_address(other)
     if one_port != other_port or one_port == 0:
@@ -176,7 +179,7 @@
 
 
 def write_settings(settings: Settings) -> str:
-    """Return `settings` as the text of an INI file; empty values are left out."""
+    """Return `settings` as the text of an INI file, without empty values."""
     ini = _new_parser()
     for section in section_names():
         struct = getattr(settings, section)
@@ -193,7 +196,7 @@
 
 
 def detect_process_kind(path: Path | str) -> ProcessKind:
-    """Tell from its sections which kind of process a settings file is for."""
+    """Return the kind of process that a settings file is for, based on its sections."""
     ini = _parse_ini(_read_text(path), str(path))
     fleet = ini.has_section("fleet")
     if ini.has_section("entry"):
--- a/src/lacewinggw/settingskeys.py
+++ b/src/lacewinggw/settingskeys.py
@@ -1,7 +1,7 @@
-"""Sections and keys of the settings, read off the structs that the schema generates.
+"""Sections and keys of the settings, derived from the structs generated from the schema.
 
-A key added to schema/settings.thrift is known here without a second place to add it; only what the
-schema cannot say stands below: which texts are addresses, and which are a choice of words.
+A key added to schema/settings.thrift needs no change here. This module defines only what the schema
+cannot express: which strings are addresses, and which have a fixed set of values.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
 
 class ProcessKind(Enum):
-    """The kinds of process that read settings."""
+    """Kind of process that reads settings."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Key:
-    """One key of a section, read off the generated struct's field table."""
+    """One key of a section, derived from the field table of the generated struct."""
 
     section: str
     field: str
@@ -65,22 +65,22 @@
 
     @property
     def name(self) -> str:
-        """The key as written in the file: the field without the unit."""
+        """Key as written in the file: the field name without the unit suffix."""
         return split_field(self.field)[0]
 
     @property
     def measure(self) -> Measure | None:
-        """The measure that the field's suffix stands for."""
+        """Measure given by the suffix of the field name, or None without a suffix."""
         return split_field(self.field)[1]
 
     @property
     def required(self) -> bool:
-        """Whether the file must give it: it has no default, and is no list."""
+        """Whether the file must contain the key: it has no default and is not a list."""
         return self.default is None and self.kind != TType.LIST
 
     @property
     def empty(self) -> Value:
-        """The value when the file gives none."""
+        """Value used when the file does not contain the key."""
         if self.kind == TType.LIST:
             return []
         return "" if self.default is None else self.default
--- a/src/lacewinggw/units.py
+++ b/src/lacewinggw/units.py
@@ -1,8 +1,8 @@
-"""Quantities with units: the text of a settings file to whole numbers, and back.
+"""Quantities with units: conversion between the text of a settings file and whole numbers.
 
-The suffix of a field's name gives its measure: `_ms` and `_s` time, `_bytes` size, `_bytes_per_s`
-rate, `_percent` share. The number in the field is in that unit; the text carries any unit of the
-same measure, so a field `patience_ms` may be written `400ms` or `0.4s`.
+The suffix of a field's name determines its measure: `_ms` and `_s` time, `_bytes` size,
+`_bytes_per_s` rate, `_percent` share. The field holds the number in that unit; the text may use any
+unit of the same measure, so a field `patience_ms` may be written `400ms` or `0.4s`.
 """
 
 import re
@@ -26,16 +26,16 @@
 
 
 class QuantityError(ValueError):
-    """Text that is not a quantity of the wanted measure."""
+    """The text is not a quantity of the expected measure."""
 
 
 class UnitError(QuantityError):
-    """The number is there, but its unit is missing or of another measure."""
+    """The unit of a quantity is missing or belongs to another measure."""
 
 
 @dataclass(frozen=True)
 class Measure:
-    """A kind of quantity: its name for people and its units, as multiples of the field's."""
+    """A kind of quantity: its display name, and its units as multiples of the field's unit."""
 
     name: str
     units: Mapping[str, Decimal]
@@ -57,7 +57,7 @@
 
 
 def split_field(field: str) -> tuple[str, Measure | None]:
-    """Split a field's name into its key and its measure; a plain field has none.
+    """Split a field's name into its key and its measure; the measure is None without a suffix.
 
     >>> split_field("patience_ms")[0]
     'patience'
@@ -69,10 +69,10 @@
 
 
 def parse_quantity(text: str, measure: Measure, rounds_down: bool = False) -> int:
-    """Return the number of the field's units that `text` stands for.
+    """Return the quantity in `text` as a whole number of the field's units.
 
-    Raise `UnitError` for a unit of another measure, `QuantityError` for what is no number, or not
-    a whole number of the field's units, unless it `rounds_down`.
+    Raise `UnitError` for a missing unit or one of another measure. Raise `QuantityError` for text
+    that is not a number, or not a whole number of the field's units unless `rounds_down` is set.
     """
     match = QUANTITY.fullmatch(text)
     if match is None:
@@ -89,7 +89,7 @@
 
 
 def format_quantity(number: int, measure: Measure) -> str:
-    """Return the shortest text that `parse_quantity` reads back as `number`."""
+    """Return the shortest text that `parse_quantity` converts back to `number`."""
     exact = [
         f"{int(number / scale)}{unit}"
         for unit, scale in measure.units.items()
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Loops beside the rest of a process."""
+"""Background loops: restart after an error, and close."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_a_loop_that_fails_is_begun_anew():
+async def test_failed_loop_is_restarted():
     begun = []
 
     async def run():
@@ -26,7 +26,7 @@
     await loop.close()
 
 
-async def test_close_ends_the_loop_and_what_it_waits_for():
+async def test_close_cancels_the_loop():
     ended = []
 
     async def run():
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors: codes, remedies, and the way through a message and back."""
+"""Errors: codes, remedies, and conversion to a message and back."""
 
 import re
 
@@ -20,7 +20,9 @@
 
 
 @pytest.mark.parametrize("error", list(error_classes()), ids=lambda error: error.__name__)
-def test_each_kind_is_whole_and_passes_through_a_message(error: type[LacewingError]) -> None:
+def test_each_kind_is_complete_and_survives_conversion_to_a_message(
+    error: type[LacewingError],
+) -> None:
     assert re.fullmatch(r"LW-\d{4}", error.code)
     assert re.fullmatch(r"[a-z]+(-[a-z]+)*", error.kind)
     assert error.__doc__
@@ -32,12 +34,12 @@
     assert restored.retry_after_ms == 250
 
 
-def test_kinds_are_told_apart() -> None:
+def test_kinds_are_unique() -> None:
     kinds = [error.kind for error in error_classes()]
     assert len(kinds) == len(set(kinds))
 
 
-def test_code_is_given_once() -> None:
+def test_duplicate_code_is_rejected() -> None:
     with pytest.raises(TypeError, match="has the code of AgentLost"):
         type("Second", (RequestUnknown,), {"code": AgentLost.code})
 
@@ -64,7 +66,7 @@
     assert type(LacewingError.from_failure(failure)) is expected
 
 
-def test_message_says_what_and_remedy() -> None:
+def test_message_contains_reason_and_remedy() -> None:
     error = UnknownKey.at("a.ini", "entry", "foo", "there is no such key", "write bar")
     assert str(error) == (
         "LW-1003 unknown-key: a.ini [entry] foo: there is no such key; remedy: write bar"
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""/metrics and /healthz."""
+"""Responses of /metrics and /healthz."""
 
 import json
 
@@ -6,7 +6,7 @@
 from lacewinggw.metrics import Metrics
 
 
-def test_not_ready_says_why() -> None:
+def test_not_ready_includes_the_reason() -> None:
     page = Health(Metrics(), lambda: Readiness(False, "no configuration yet")).page("/healthz")
     assert page is not None
     assert page.status == 503
@@ -17,7 +17,7 @@
     }
 
 
-def test_readiness_is_asked_each_time() -> None:
+def test_readiness_is_checked_for_each_response() -> None:
     answers = iter([Readiness(False, "no configuration yet"), Readiness(True, revision=7)])
     health = Health(Metrics(), lambda: next(answers))
     statuses = [page.status for page in (health.page("/healthz"), health.page("/healthz")) if page]
@@ -32,5 +32,5 @@
     assert b"# TYPE lacewinggw_refusals_total counter\n" in page.body
 
 
-def test_other_paths_are_not_ours() -> None:
+def test_other_paths_return_none() -> None:
     assert Health(Metrics(), lambda: Readiness(True)).page("/") is None
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines: JSON or text, with the process's own fields."""
+"""Log lines: JSON or text, with the fields of the process."""
 
 import io
 import json
@@ -32,7 +32,7 @@
     }
 
 
-def test_error_is_spelled_out() -> None:
+def test_error_is_expanded_into_fields() -> None:
     out = _configure("json")
     get_logger().warning("request_refused", error=NoTarget("none serves x"))
     line = json.loads(out.getvalue())
@@ -53,27 +53,27 @@
     assert "Traceback" in line["exception"]
 
 
-def test_text_is_for_people() -> None:
+def test_text_format_is_human_readable() -> None:
     out = _configure("text")
     get_logger().info("started", revision=4)
     assert "started" in out.getvalue()
     assert "revision=4" in out.getvalue()
 
 
-def test_level_filters() -> None:
+def test_lines_below_the_level_are_dropped() -> None:
     out = _configure("json", "warning")
     get_logger().info("started")
     assert out.getvalue() == ""
 
 
-def test_logger_made_before_the_configuration_follows_it() -> None:
+def test_logger_created_before_configuration_uses_it() -> None:
     early = get_logger("early")
     out = _configure("json")
     early.info("started")
     assert json.loads(out.getvalue())["module"] == "early"
 
 
-def test_key_is_never_logged() -> None:
+def test_fleet_key_is_never_logged() -> None:
     out = _configure("json")
     get_logger().info("started")
     assert '"key"' not in out.getvalue()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: what is counted, how it is rendered, and that it stays bounded."""
+"""Metrics: counting, rendering, and the limit on series."""
 
 import ast
 from collections.abc import Iterator
@@ -40,7 +40,7 @@
     assert "# HELP lacewinggw_refusals_total Requests refused as not run, by reason.\n" in text
 
 
-def test_only_refusals_are_counted_as_such() -> None:
+def test_only_refusals_are_counted_as_refusals() -> None:
     metrics = Metrics()
     metrics.count_refusal_error(NoTarget("none"))
     metrics.count_refusal_error(AgentLost("lost"))
@@ -49,7 +49,7 @@
     assert sum(counters.values()) == 1
 
 
-def test_each_reason_is_there_from_the_start() -> None:
+def test_each_reason_is_exported_from_the_start() -> None:
     text = Metrics().render()
     for refusal in Refusal:
         assert f'lacewinggw_refusals_total{{reason="{refusal.value}"}} 0\n' in text
@@ -57,7 +57,7 @@
         assert f'lacewinggw_retries_total{{reason="{retry.value}"}} 0\n' in text
 
 
-def test_reasons_are_counted_one_by_one() -> None:
+def test_reasons_are_counted_separately() -> None:
     metrics = Metrics()
     metrics.refuse(Refusal.DRAINING)
     metrics.refuse(Refusal.DRAINING)
@@ -68,7 +68,7 @@
     assert sum(counters.values()) == 3
 
 
-def test_counter_kept_is_the_counter_named() -> None:
+def test_stored_counter_is_shared_with_count_by_name() -> None:
     metrics = Metrics()
     kept = metrics.counter("requests", outcome="answered")
     kept.add()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Signals: start, drain, and close at each moment a signal can come."""
+"""Termination signals during start, operation and drain."""
 
 import asyncio
 import os
@@ -10,7 +10,7 @@
 
 
 class Recorder:
-    """A process that notes its steps, is sent a signal in some, and may hang in one."""
+    """A process that records its steps, receives signals in some, and may hang in one."""
 
     def __init__(self, signals: dict[str, int], hang: str = "") -> None:
         self.steps: list[str] = []
@@ -22,15 +22,15 @@
         await run_until_signalled(self.start, self.drain, self.close)
 
     async def start(self) -> None:
-        """Note the start."""
+        """Record the start."""
         await self._step("start")
 
     async def drain(self) -> None:
-        """Note the drain."""
+        """Record the drain."""
         await self._step("drain")
 
     async def close(self) -> None:
-        """Note the close."""
+        """Record the close."""
         await self._step("close")
 
     async def _step(self, name: str) -> None:
@@ -51,13 +51,13 @@
     assert recorder.steps == ["start", "drain", "close"]
 
 
-async def test_signal_while_starting_gives_the_start_up() -> None:
+async def test_signal_during_start_cancels_it() -> None:
     recorder = Recorder({"start": signal.SIGTERM}, hang="start")
     await recorder.run()
     assert recorder.steps == ["start", "start cancelled", "close"]
 
 
-async def test_second_signal_cuts_the_drain_short() -> None:
+async def test_second_signal_cancels_the_drain() -> None:
     recorder = Recorder({"start": signal.SIGTERM, "drain": signal.SIGTERM}, hang="drain")
     await recorder.run()
     assert recorder.steps == ["start", "drain", "drain cancelled", "close"]
@@ -74,6 +74,6 @@
     assert recorder.steps == ["close"]
 
 
-async def test_handlers_are_gone_afterwards() -> None:
+async def test_signal_handlers_are_removed_afterwards() -> None:
     await Recorder({"start": signal.SIGTERM}).run()
     assert not asyncio.get_running_loop().remove_signal_handler(signal.SIGTERM)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is read, and one clear error for each kind of fault."""
+"""Settings: parsing, and one clear error for each kind of invalid file."""
 
 from decimal import Decimal
 from pathlib import Path
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("kind", list(ProcessKind))
-def test_example_is_good(kind: ProcessKind) -> None:
+def test_example_is_valid(kind: ProcessKind) -> None:
     path = EXAMPLES / f"{kind.value}.ini"
     assert detect_process_kind(path) is kind
     load_settings(path, SECTIONS[kind])
@@ -57,14 +57,14 @@
     assert settings.spread.patience_ms == 200
 
 
-def test_list_has_an_item_a_line_or_between_commas() -> None:
+def test_list_items_are_separated_by_lines_or_commas() -> None:
     settings = load_settings(EXAMPLES / "entry.ini", ENTRY)
     assert settings.entry.accounts == ["radio-desk:secret-1:200:64", "growers:secret-2:50:16"]
     operator = load_settings(EXAMPLES / "operator.ini", SECTIONS[ProcessKind.OPERATOR]).operator
     assert operator.entries == ["10.1.1.1:8081", "10.2.1.1:8081"]
 
 
-def test_key_of_another_process_is_not_required() -> None:
+def test_required_key_of_another_process_may_be_missing() -> None:
     assert parse_settings("[agent]\ntarget = 127.0.0.1:9\n", "x", ()).agent.peer_listen == ""
 
 
@@ -106,7 +106,7 @@
 
 
 @given(st.text(alphabet="[]=\n #;:%prtocesablg0123.é\0", max_size=200))
-def test_any_text_is_read_or_refused(text: str) -> None:
+def test_any_text_is_parsed_or_rejected(text: str) -> None:
     try:
         parse_settings(f"[process]\n{text}", "x", ())
     except LacewingError as error:
@@ -132,12 +132,11 @@
     return value
 
 
-# Every entry of a deployment ended at once, and again at each start, as the figure that its
-# platform had worked out for the retries of the fleet had a fraction: "[fleet] extra_retries:
-# '37.833333333333336' is not a whole number".
+# A platform may compute a value with a fraction. Rejecting it made every entry of a deployment exit
+# at once and at each restart: "[fleet] extra_retries: '37.833333333333336' is not a whole number".
 @pytest.mark.parametrize("key", FILLED_IN, ids=lambda key: str(key.name))
 @given(number=st.floats(1, 90))
-def test_what_a_platform_fills_in_may_have_a_fraction(key: Key, number: float) -> None:
+def test_value_filled_in_by_a_platform_may_have_a_fraction(key: Key, number: float) -> None:
     unit = UNITS[key.measure.name if key.measure else None]
     assert read_fleet(key.name, f"{number:.9f}{unit}") == int(Decimal(f"{number:.9f}"))
     assert read_fleet(key.name, f"{number:.8e}{unit}") == int(Decimal(f"{number:.8e}"))
@@ -145,13 +144,13 @@
 
 @pytest.mark.parametrize("key", FILLED_IN, ids=lambda key: str(key.name))
 @pytest.mark.parametrize("text", ["nan", "inf", "-1", "1e99", "1e30", "", "1.2.3", "one"])
-def test_what_is_no_figure_is_refused_with_the_name_of_its_key(key: Key, text: str) -> None:
+def test_invalid_number_is_rejected_with_the_name_of_its_key(key: Key, text: str) -> None:
     unit = UNITS[key.measure.name if key.measure else None]
     if text + unit:
         with pytest.raises(SettingsError, match=rf"\[fleet\] {key.name}"):
             read_fleet(key.name, text + unit)
 
 
-def test_an_own_count_with_a_fraction_is_refused() -> None:
+def test_operator_set_count_with_a_fraction_is_rejected() -> None:
     with pytest.raises(SettingsError, match="whole number"):
         parse_settings("[spread]\ngateways = 2.5\n", "agent.ini", ("spread",))
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -33,12 +33,12 @@
 
 
 @pytest.mark.parametrize("text", ["5", "5MB", "5 s s", "5S"])
-def test_other_unit_is_an_error(text: str) -> None:
+def test_missing_or_wrong_unit_is_an_error(text: str) -> None:
     with pytest.raises(QuantityError):
         parse_quantity(text, MEASURES["_ms"])
 
 
-def test_missing_unit_is_told_from_a_bad_number() -> None:
+def test_missing_unit_differs_from_invalid_number() -> None:
     with pytest.raises(UnitError, match="has no unit"):
         parse_quantity("5", MEASURES["_ms"])
     with pytest.raises(QuantityError, match="finer than"):
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("suffix", list(MEASURES))
 @given(number=st.integers(min_value=0, max_value=2**53))
-def test_formatted_quantity_reads_back_the_same(suffix: str, number: int) -> None:
+def test_formatted_quantity_parses_to_the_same_number(suffix: str, number: int) -> None:
     measure = MEASURES[suffix]
     assert parse_quantity(format_quantity(number, measure), measure) == number
 
