--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,9 @@
-"""Give every run the same verdict: fixed examples, and the known failures passed over and printed.
+"""Make test runs repeatable, and report known failures without failing the run.
 
-Hypothesis draws the same examples each time and judges no durations. KNOWN-RED.txt at the root,
-when there is one, lists tests that fail for a known fault, one a line: `test id | cause | issue`.
-Only the tests named there may fail; a listed test that passes, or that does not exist, is printed
-too, so that its line gets removed.
+Hypothesis generates the same examples in each run and enforces no deadline. An optional
+KNOWN-RED.txt at the root lists tests that fail because of a known bug, one per line: `test id |
+cause | issue`. Only the listed tests may fail. A listed test that passes or does not exist is
+printed too, so that its line gets removed.
 """
 
 from collections.abc import Iterator
@@ -21,8 +21,8 @@
     "tests/test_build.py",
 )
 
-# The loop of virtual time turns so often with nothing to do before time moves, for tests that have
-# sockets or threads beside it. These have none, and would spend most of their time on it.
+# By default, looptime runs several idle cycles of the event loop before it advances the time, for
+# tests with sockets or threads. These tests have none, and would spend most of their time idling.
 MOVE_TIME_AT_ONCE = pytest.mark.looptime(noop_cycles=1)
 
 settings.register_profile("repeatable", derandomize=True, deadline=None, database=None)
@@ -31,16 +31,16 @@
 
 @pytest.fixture(autouse=True)
 def fresh_log() -> Iterator[None]:
-    """Undo what a test did to the log, whose stream may be gone when the next test writes to it."""
+    """Reset the logging configuration after a test, since its stream may be closed by then."""
     yield
     structlog.reset_defaults()
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Begin with the long tests; expect the listed ones to fail, without demanding it.
+    """Run the long tests first; mark the listed tests as xfail, not strict.
 
-    Virtual time moves as soon as there is nothing to do. A process that takes a long test last has
-    all others wait for it.
+    Virtual time advances as soon as the loop is idle. A worker that runs a long test last makes all
+    other workers wait for it.
     """
     items.sort(key=lambda item: not item.nodeid.startswith(LONG))
     causes = {entry.test: entry.cause for entry in read_known_red()}
@@ -52,7 +52,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print each listed test and how it ended."""
+    """Print the outcome of each listed test."""
     ended = {
         report.nodeid: outcome
         for outcome in ("xfailed", "xpassed")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The lines of KNOWN-RED.txt: tests that may fail for a fault not yet mended."""
+"""Parse KNOWN-RED.txt, the list of tests that may fail because of an unfixed bug."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A test that fails for a fault not yet mended."""
+    """A test that fails because of an unfixed bug."""
 
     test: str
     cause: str
@@ -19,7 +19,10 @@
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Return the entries of a KNOWN-RED.txt; raise `pytest.UsageError` for a bad line."""
+    """Return the entries of a KNOWN-RED.txt.
+
+    Raise `pytest.UsageError` for an invalid line or too many entries.
+    """
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     if len(lines) > KNOWN_RED_LIMIT:
         raise pytest.UsageError(f"KNOWN-RED.txt lists {len(lines)}, more than {KNOWN_RED_LIMIT}")
@@ -34,5 +37,5 @@
 
 
 def read_known_red() -> list[KnownRed]:
-    """Return the entries of the file at the root; none when there is no file."""
+    """Return the entries of the file at the root, or an empty list without a file."""
     return parse_known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -68,7 +68,7 @@
         (AcceptanceUnknown("x"), ExitCode.UNKNOWN),
     ],
 )
-def test_exit_code_tells_the_outcome(
+def test_exit_code_depends_on_the_outcome(
     error: LacewingError,
     code: ExitCode,
     monkeypatch: pytest.MonkeyPatch,
@@ -108,7 +108,7 @@
     assert "show history" in capsys.readouterr().err
 
 
-def test_options_win_over_the_file() -> None:
+def test_options_override_the_file() -> None:
     argv = ["ask", "--settings", str(EXAMPLES / "operator.ini"), "--json", "show", "hosts"]
     from_file = shell_options(parse_arguments(argv))
     assert from_file == ShellOptions(
@@ -123,7 +123,7 @@
     assert given.token == "t"
 
 
-def test_words_are_passed_on_as_written(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_words_are_forwarded_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
     asked: list[str] = []
 
     def ask_command(_: ShellOptions, words: str) -> int:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The documents: every page is found from its index, every link leads somewhere."""
+"""Documentation: every page is in its index, and no link is broken."""
 
 import re
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=relative)
-def test_links_lead_somewhere(page: Path) -> None:
+def test_links_are_not_broken(page: Path) -> None:
     links = LINK.findall(page.read_text())
     assert [link for link in links if not (page.parent / link).exists()] == []
 
--- a/tests/test_ids.py
+++ b/tests/test_ids.py
@@ -22,7 +22,7 @@
         split_address(address)
 
 
-def test_ids_follow_their_source() -> None:
+def test_ids_are_determined_by_the_random_source() -> None:
     assert new_incarnation(random.Random(1)) == new_incarnation(random.Random(1))
     assert new_request_id(random.Random(1)) != new_request_id(random.Random(2))
     assert len(new_incarnation(random.Random(1))) == 24
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: which failures may pass, and that no others do."""
+"""KNOWN-RED.txt: only listed tests may fail without failing the run."""
 
 from pathlib import Path
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def project(pytester: pytest.Pytester) -> pytest.Pytester:
-    """Return a project of one failing and one passing test, with our conftest."""
+    """Return a project with one failing and one passing test, and this suite's conftest."""
     tests = pytester.mkdir("tests")
     for name in ("conftest.py", "known_red.py"):
         (tests / name).write_text((TESTS_FOLDER / name).read_text())
@@ -37,7 +37,7 @@
     return pytester
 
 
-def test_listed_failure_is_passed_over_and_printed(project: pytest.Pytester) -> None:
+def test_listed_failure_is_ignored_and_printed(project: pytest.Pytester) -> None:
     (project.path / "KNOWN-RED.txt").write_text("tests/test_x.py::test_red | why | 1\n")
     result = project.runpytest_subprocess()
     assert result.ret == 0
@@ -45,7 +45,7 @@
     result.stdout.fnmatch_lines(["KNOWN-RED xfailed: tests/test_x.py::test_red | why"])
 
 
-def test_other_failure_fails(project: pytest.Pytester) -> None:
+def test_unlisted_failure_fails_the_run(project: pytest.Pytester) -> None:
     (project.path / "KNOWN-RED.txt").write_text("tests/test_x.py::test_green | why | 1\n")
     result = project.runpytest_subprocess()
     assert result.ret == 1
@@ -53,7 +53,7 @@
     result.stdout.fnmatch_lines(["KNOWN-RED xpassed: tests/test_x.py::test_green | why"])
 
 
-def test_listed_test_that_is_gone_is_printed(project: pytest.Pytester) -> None:
+def test_listed_test_that_does_not_exist_is_printed(project: pytest.Pytester) -> None:
     (project.path / "KNOWN-RED.txt").write_text("tests/test_x.py::test_gone | why | 1\n")
     result = project.runpytest_subprocess()
     result.stdout.fnmatch_lines(["KNOWN-RED not run: tests/test_x.py::test_gone | why"])
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The generated pages of docs/ are in step with the code and the schema."""
+"""The generated pages of docs/ match the code and the schema."""
 
 import importlib.util
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 def load_tool(name: str) -> ModuleType:
-    """Import a script of tools/, which is no package."""
+    """Import a script from tools/, which is not a package."""
     spec = importlib.util.spec_from_file_location(name, ROOT / "tools" / f"{name}.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("page", ["ERRORS", "SETTINGS", "operators/METRICS"])
-def test_page_is_in_step(page: str) -> None:
+def test_page_is_up_to_date(page: str) -> None:
     name = page.rpartition("/")[2].lower()
     text = getattr(load_tool("reference"), f"{name}_text")()
     assert (ROOT / "docs" / f"{page}.md").read_text() == text, "run `make docs`"
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Run a coroutine on virtual time, in a loop of its own that must end with nothing pending."""
+"""Run a coroutine on virtual time in its own event loop; cancel pending tasks at the end."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 
 def run_virtual(coroutine: Coroutine[Any, Any, T], seed: int = 0) -> T:
-    """Return what the coroutine returns; module-wide randomness starts from the seed."""
+    """Return the result of the coroutine; seed the global random generator first."""
     random.seed(seed)
     loop = looptime.new_event_loop(start=1.0, noop_cycles=1)
     try:
