--- a/src/lacewinggw/frontend/fetching.py
+++ b/src/lacewinggw/frontend/fetching.py
@@ -44,7 +44,7 @@
     """Fetches routes and versions that other entries announce.
 
     `on_fetching` is called before routes are fetched. `on_fetched` is called when they have been
-    applied, with the store position up to which all is known, or `NOWHERE` if that is unknown.
+    applied, with the store position up to which all is known, or `NO_POSITION` if that is unknown.
     """
 
     def __init__(
--- a/src/lacewinggw/lab/baselines.py
+++ b/src/lacewinggw/lab/baselines.py
@@ -1,7 +1,7 @@
 """Other ways to spread a release, to compare with: they take the place of the product's policy.
 
-Each runs in the agent in the place of `ReleaseSpread`, over the same links and with the same checks
-of every chunk, so that only the decisions differ.
+Each runs in the agent in the place of `ChunkScheduler`, over the same links and with the same
+checks of every chunk, so that only the decisions differ.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class BaselinePlan:
-    """Derive the links of a baseline; stands in for `TopologyPlan`."""
+    """Derive the links of a baseline; stands in for `TopologyRules`."""
 
     baseline: Baseline
     local: int
@@ -111,7 +111,7 @@
 
 
 def make_baseline_spread(baseline: Baseline, me: HostId) -> type[ChunkScheduler]:
-    """Return the class that stands in for `ReleaseSpread` on one host."""
+    """Return the class that stands in for `ChunkScheduler` on one host."""
     if baseline is Baseline.MESH:
         return MeshSpread
     return type("HostParentSpread", (ParentSpread,), {"me": me})
--- a/src/lacewinggw/lab/fleetmodel/fleet.py
+++ b/src/lacewinggw/lab/fleetmodel/fleet.py
@@ -99,7 +99,7 @@
         await self.queue.close()
 
     async def serve(self, call: Call, caller: ModelCaller) -> None:
-        """Answer a request of a caller; raise `CallerGone` when it ends without an answer."""
+        """Answer a caller's request; raise `CallerDisconnected` if it ends without an answer."""
         task = asyncio.ensure_future(self._relay.serve(call, caller))  # type: ignore[arg-type]
         self._serving.add(task)
         try:
